--- a/crates/state/src/answer.rs
+++ b/crates/state/src/answer.rs
@@ -1,20 +1,20 @@
-//! Recorded answers of requests that have ended.
+//! Recorded responses, replayed when a caller repeats an idempotency key.
 
 use serde::{Deserialize, Serialize};
 
-/// A whole answer, as first given.
+/// A complete response, as first sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// Value of `content-type`.
     pub content_type: String,
-    /// Text pieces in order, for a model; one body for a service.
+    /// For a model, the generated text in order, one token each; for a service, the body alone.
     pub pieces: Vec<Vec<u8>>,
 }
 
 impl Answer {
-    /// Size of the pieces, in bytes.
+    /// Total size of the body, in bytes.
     pub fn bytes(&self) -> usize {
         self.pieces.iter().map(Vec::len).sum()
     }
--- a/crates/state/src/attempt.rs
+++ b/crates/state/src/attempt.rs
@@ -1,20 +1,20 @@
-//! Attempts: one try of one request on engines.
+//! Attempts: a request and its retries each run on engines under an identifier of their own.
 
 use crate::incarnation::Incarnation;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Names an attempt everywhere, engines included; tells which node made it.
+/// Identifies an attempt on every node and engine, and names the node that made it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{origin}-{sequence:x}-{round:x}")]
 pub struct Id {
-    /// Node that runs the request.
+    /// Node that runs the request and made the attempt.
     pub origin: Incarnation,
-    /// Number of the request at that node.
+    /// Number of the request, counted by that node.
     pub sequence: u64,
-    /// Number of the try, from zero.
+    /// Number of the attempt, zero for the first.
     pub round: u16,
 }
 
@@ -28,7 +28,7 @@
         parts.next().is_none().then_some(Self { origin, sequence, round })
     }
 
-    /// The same request's following try.
+    /// The next attempt of the same request.
     pub fn next(self) -> Self {
         Self { round: self.round.saturating_add(1), ..self }
     }
--- a/crates/state/src/endpoint.rs
+++ b/crates/state/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as service discovery describes them: engines in two stages, and plain services.
+//! Endpoints as service discovery describes them: prefill engines, decode engines and plain services.
 
 use crate::hash;
 use serde::{Deserialize, Serialize};
@@ -6,40 +6,41 @@
 use std::net::SocketAddr;
 
 new_key_type! {
-    /// Place of an endpoint in this node's pool.
+    /// Arena key of an endpoint in this node's pool.
     pub struct Key;
 }
 
-/// Name between nodes: a hash of a VM's name, or of an endpoint's id and birth.
+/// Short identifier in messages between nodes: the hash of the name of a VM or an organisation, or of an
+/// endpoint's id and start time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Tag(pub u64);
 
 impl Tag {
-    /// Tag of what has this name.
+    /// Hashes a name.
     pub fn of(name: &str) -> Self {
         Self(hash::of(name.as_bytes()))
     }
 }
 
-/// What an endpoint does.
+/// Work that an endpoint does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Computes KV cache from prompts.
     Prefill,
     /// Generates tokens.
     Decode,
-    /// Answers plain calls.
+    /// Answers plain HTTP requests.
     Plain,
 }
 
 /// One incarnation of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Name, which the next incarnation may have too.
+    /// Name, which an endpoint keeps over restarts.
     pub id: String,
-    /// When this incarnation started, as it says itself: milliseconds of Unix time.
+    /// Start of this incarnation by the endpoint's own clock, in Unix milliseconds.
     pub born: u64,
     /// Service it belongs to.
     pub service: String,
@@ -47,19 +48,19 @@
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Requests it works on at once.
+    /// Most requests that it runs concurrently.
     pub slots: u32,
-    /// What it does.
+    /// Work that it does.
     pub stage: Stage,
-    /// Whether it announced that it leaves.
+    /// Whether it announced that it shuts down.
     pub draining: bool,
 }
 
 impl Endpoint {
-    /// Name of this incarnation between nodes. Another birth under the same id is another endpoint,
-    /// which holds nothing of what this one held.
+    /// Identifier of this incarnation in messages between nodes. After a restart under the same id it
+    /// is another one, since the new process holds no memory or requests of the old one.
     pub fn tag(&self) -> Tag {
-        let birth = self.born.to_le_bytes();
-        Tag(hash::of(&[self.id.as_bytes(), &birth].concat()))
+        let start_bytes = self.born.to_le_bytes();
+        Tag(hash::of(&[self.id.as_bytes(), &start_bytes].concat()))
     }
 }
--- a/crates/state/src/fingerprint.rs
+++ b/crates/state/src/fingerprint.rs
@@ -1,24 +1,27 @@
-//! What makes two requests the same one: a digest that nobody can bring about for another's request.
+//! Request fingerprints: collision-resistant digests that decide whether two requests are the same.
+//!
+//! The hash is a cryptographic one, so that no caller can craft a request with the fingerprint of another
+//! caller's.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
-use std::fmt::{Debug, Display, Formatter, Result as Written};
+use std::fmt::{Debug, Display, Formatter, Result as FmtResult};
 use std::str::FromStr;
 
-/// Bytes of a fingerprint: even 2^40 requests collide with a chance of one in 2^48.
+/// Bytes of a fingerprint: among 2^40 requests, the chance of any collision is one in 2^48.
 const BYTES: usize = 16;
 
-/// Digest of what a repetition of a request has in common with it.
+/// Digest of the parts that a repeated request has in common with the first.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("a fingerprint has {} hexadecimal digits", BYTES * 2)]
-pub struct Malformed;
+#[display("a fingerprint must have {} hexadecimal digits", BYTES * 2)]
+pub struct ParseError;
 
 impl Fingerprint {
-    /// Digest of parts in their order. The length of each counts, so that no bytes move between parts.
+    /// Hashes parts in order, each with its length, so that bytes moved from one part to the next change it.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -32,28 +35,28 @@
 }
 
 impl Display for Fingerprint {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> Written {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> FmtResult {
         self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
 impl Debug for Fingerprint {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> Written {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> FmtResult {
         Display::fmt(self, formatter)
     }
 }
 
 impl FromStr for Fingerprint {
-    type Err = Malformed;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Malformed> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         if text.len() != BYTES * 2 || !text.is_ascii() {
-            return Err(Malformed);
+            return Err(ParseError);
         }
         let mut bytes = [0; BYTES];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[place * 2..place * 2 + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| Malformed)?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseError)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/state/src/incarnation.rs
+++ b/crates/state/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! One start of one node process.
+//! Incarnations: each start of a node process has an identity of its own.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Bits of an incarnation that are random; the rest is its start time.
+/// Lowest bits of an incarnation, which are random; those above are the start time in Unix milliseconds.
 pub const RANDOM_BITS: u32 = 20;
 
-/// Identity of one start of a node, rising from start to start on one VM.
+/// Identity of one start of a node; a later start on the same VM has a higher one.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,7 +14,7 @@
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Builds one from Unix milliseconds and random bits.
+    /// Combines a start time in Unix milliseconds with random bits.
     pub fn new(unix_millis: u64, random: u64) -> Self {
         Self((unix_millis << RANDOM_BITS) | (random & ((1 << RANDOM_BITS) - 1)))
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a crosslane node knows: plain data in arenas keyed by small `Copy` keys.
+//! State of a crosslane node: plain data in arenas keyed by small `Copy` keys.
 //!
-//! Nothing here decides, does I/O, reads a clock or draws a random number.
+//! This crate makes no routing decisions, does no I/O and uses neither clocks nor random numbers.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -1,54 +1,54 @@
-//! Load of runners: lagging reports, corrected by what was granted since.
+//! Load of runners: delayed reports of their owners, corrected by the requests sent since.
 
 use crate::runner::Id;
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Load of a runner as its owner tells it.
+/// Load of a runner, reported by the node that owns it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Slots in use or granted.
     pub busy: u32,
-    /// Requests that wait for a slot.
+    /// Requests queued for a slot.
     pub waiting: u32,
     /// Expected wait for a new request, in milliseconds.
     pub wait_millis: u32,
 }
 
-/// What is known of one runner.
+/// Load estimate of one runner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Entry {
     /// Latest report.
     pub report: Report,
-    /// When it came.
+    /// Time at which it arrived.
     pub at: Millis,
-    /// Requests sent there since.
+    /// Requests sent to the runner since the latest report or grant.
     pub sent: u32,
-    /// Do not use before this time.
+    /// The runner gets no requests before this time.
     pub shunned_until: Millis,
 }
 
 impl Entry {
-    /// Requests believed to be at the runner.
+    /// Estimated number of outstanding requests: in slots, queued, or sent since.
     pub fn depth(&self) -> u32 {
         self.report.busy + self.report.waiting + self.sent
     }
 }
 
-/// Load of all runners this node hears of.
+/// Load estimates of all runners for which this node has reports.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
     entries: HashMap<Id, Entry>,
 }
 
 impl Board {
-    /// What is known of a runner.
+    /// Estimate for a runner, empty without a report.
     pub fn get(&self, id: Id) -> Entry {
         self.entries.get(&id).copied().unwrap_or_default()
     }
 
-    /// Takes in a report.
+    /// Replaces the latest report; requests sent before it are part of it.
     pub fn report(&mut self, id: Id, report: Report, now: Millis) {
         let entry = self.entries.entry(id).or_default();
         entry.report = report;
@@ -56,7 +56,7 @@
         entry.sent = 0;
     }
 
-    /// Takes in the wait that an owner told with a grant.
+    /// Updates the expected wait, which an owner returns with each grant.
     pub fn told(&mut self, id: Id, wait_millis: u32) {
         let entry = self.entries.entry(id).or_default();
         entry.report.wait_millis = wait_millis;
@@ -68,13 +68,13 @@
         self.entries.entry(id).or_default().sent += 1;
     }
 
-    /// Takes back a request that did not stay there.
+    /// Uncounts a request that the runner did not keep.
     pub fn unsent(&mut self, id: Id) {
         let entry = self.entries.entry(id).or_default();
         entry.sent = entry.sent.saturating_sub(1);
     }
 
-    /// Keeps requests away from a runner that failed.
+    /// Sends no requests to a failed runner before a time.
     pub fn shun(&mut self, id: Id, until: Millis) {
         self.entries.entry(id).or_default().shunned_until = until;
     }
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -1,4 +1,4 @@
-//! Members: the node incarnations that the log has recorded.
+//! Cluster membership: the node incarnations whose join is recorded in the log.
 
 use crate::hash;
 use crate::incarnation::Incarnation;
@@ -9,19 +9,19 @@
 /// One node that has joined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Which start of the node.
+    /// Identity of this start of the node.
     pub incarnation: Incarnation,
     /// VM it runs on.
     pub vm: String,
     /// Failure domain.
     pub domain: String,
-    /// Address for control messages.
+    /// Address for control messages of other nodes.
     pub control: SocketAddr,
-    /// Address for forwarded requests.
+    /// Address for requests forwarded by other nodes.
     pub forward: SocketAddr,
 }
 
-/// The members in force; written as a list.
+/// Current members; serialized as a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Member>", into = "Vec<Member>")]
 pub struct Roster {
@@ -30,7 +30,7 @@
 
 impl From<Vec<Member>> for Roster {
     fn from(members: Vec<Member>) -> Self {
-        Self { members: members.into_iter().map(|it| (it.incarnation, it)).collect() }
+        Self { members: members.into_iter().map(|member| (member.incarnation, member)).collect() }
     }
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Roster {
-    /// Adds a member and returns earlier ones on the same VM, now removed.
+    /// Adds a member, and removes and returns earlier incarnations on the same VM.
     pub fn join(&mut self, member: Member) -> Vec<Incarnation> {
         let replaced: Vec<_> = self
             .members
@@ -49,8 +49,8 @@
             .filter(|old| old.vm == member.vm && old.incarnation < member.incarnation)
             .map(|old| old.incarnation)
             .collect();
-        for old in &replaced {
-            self.members.remove(old);
+        for incarnation in &replaced {
+            self.members.remove(incarnation);
         }
         self.members.insert(member.incarnation, member);
         replaced
@@ -66,48 +66,52 @@
         self.members.get(&incarnation)
     }
 
-    /// All members, by incarnation.
+    /// All members, in order of incarnation.
     pub fn iter(&self) -> impl Iterator<Item = &Member> + Clone {
         self.members.values()
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Members from the highest rendezvous weight for a hash downwards.
+    /// Members by their rendezvous weight for a key hash, highest first.
     pub fn ranked(&self, key: u64) -> Vec<Incarnation> {
         let mut ranked: Vec<_> =
-            self.members.keys().map(|it| (hash::weight(key, it.0), *it)).collect();
+            self.members.keys().map(|member| (hash::weight(key, member.0), *member)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        ranked.into_iter().map(|(_, it)| it).collect()
+        ranked.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// The member with the highest weight that passes a check.
+    /// The eligible member with the highest rendezvous weight for a key hash.
     pub fn owner(&self, key: u64, eligible: impl Fn(Incarnation) -> bool) -> Option<Incarnation> {
         self.members
             .keys()
-            .filter(|it| eligible(**it))
-            .max_by_key(|it| (hash::weight(key, it.0), **it))
+            .filter(|member| eligible(**member))
+            .max_by_key(|member| (hash::weight(key, member.0), **member))
             .copied()
     }
 
-    /// The next `count` members after one on the ring of incarnation hashes.
+    /// The `count` members that follow an incarnation on the ring of incarnation hashes.
     pub fn neighbours(&self, of: Incarnation, count: usize) -> Vec<&Member> {
-        let place = |it: Incarnation| (hash::weight(RING, it.0), it);
-        let mut ring: Vec<_> = self.members.values().filter(|it| it.incarnation != of).collect();
-        let here = place(of);
-        ring.sort_unstable_by_key(|it| (place(it.incarnation) < here, place(it.incarnation)));
+        let position =
+            |incarnation: Incarnation| (hash::weight(RING_KEY, incarnation.0), incarnation);
+        let mut ring: Vec<_> =
+            self.members.values().filter(|member| member.incarnation != of).collect();
+        let start = position(of);
+        ring.sort_unstable_by_key(|member| {
+            (position(member.incarnation) < start, position(member.incarnation))
+        });
         ring.truncate(count);
         ring
     }
 }
 
-/// Seed of the ring on which neighbours are chosen.
-const RING: u64 = 0x0063_726f_7373;
+/// Hash key that gives each incarnation its position on the ring.
+const RING_KEY: u64 = 0x0063_726f_7373;
--- a/crates/state/src/organisation.rs
+++ b/crates/state/src/organisation.rs
@@ -1,30 +1,30 @@
-//! Organisations: whose a request is, by the key that its caller shows, and what they may use.
+//! Organisations: identified by their callers' API keys, each with an optional rate limit.
 //!
-//! Keys are held and compared as digests only, so that none can get into a log line, a metric or a message.
+//! API keys are kept and compared only as digests, so that none can reach a log line, a metric or a message.
 
 use crate::endpoint::Tag;
 use crate::fingerprint::Fingerprint;
 use std::collections::HashMap;
 
-/// Place of an organisation in its configuration.
+/// Index of an organisation in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key(u32);
 
-/// What a limit counts.
+/// Unit of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unit {
-    /// Each request as one.
+    /// Each request costs one.
     #[default]
     Requests,
-    /// The tokens of the prompt and the most tokens to generate.
+    /// A request costs its prompt tokens and the most tokens that it may generate.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Cost of a request that states no number of tokens.
         plain: u32,
     },
 }
 
 impl Unit {
-    /// What a request costs that names so many tokens, or none.
+    /// Cost of a request with the number of tokens that it states, if any.
     pub fn cost(self, tokens: Option<u32>) -> u32 {
         match self {
             Self::Requests => 1,
@@ -33,83 +33,85 @@
     }
 }
 
-/// What an organisation may use over all nodes, in its unit.
+/// Rate limit of an organisation over all nodes, in its unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Each second.
+    /// Units a second.
     pub rate: f64,
-    /// Besides, after a rest.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
 }
 
 /// An organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Name, by which endpoints know it.
+    /// Name, as endpoints get it.
     pub name: String,
-    /// What its limit counts.
+    /// Unit of its limit.
     pub unit: Unit,
-    /// Its limit, if it has one.
+    /// Rate limit, if it has one.
     pub limit: Option<Limit>,
 }
 
 impl Organisation {
-    /// Name between nodes.
+    /// Identifier in messages between nodes.
     pub fn tag(&self) -> Tag {
         Tag::of(&self.name)
     }
 }
 
-/// What a caller shows of who it is.
+/// Credential of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// None.
     Absent,
-    /// A key, of which only the digest is kept.
+    /// An API key, of which only the digest is kept.
     Key(Fingerprint),
-    /// Something that is no key.
+    /// Not a well-formed API key.
     Malformed,
 }
 
-/// All organisations of a configuration, and their keys.
+/// All organisations of a configuration, with their API keys.
 #[derive(Clone, Debug, Default)]
 pub struct Organisations {
-    all: Vec<Organisation>,
+    organisations: Vec<Organisation>,
     keys: HashMap<Fingerprint, Key>,
     tags: HashMap<Tag, Key>,
 }
 
 impl Organisations {
-    /// Adds an organisation with the digests of its keys; false if another one has such a key, or its name.
+    /// Adds an organisation with the digests of its API keys; false if another one has its name or one of them.
     pub fn add(&mut self, organisation: Organisation, digests: &[Fingerprint]) -> bool {
-        let key = Key(self.all.len() as u32);
-        let known = self.tags.insert(organisation.tag(), key).is_some();
-        let taken = digests.iter().any(|it| self.keys.insert(*it, key).is_some_and(|it| it != key));
-        self.all.push(organisation);
-        !known && !taken
+        let key = Key(self.organisations.len() as u32);
+        let duplicate_name = self.tags.insert(organisation.tag(), key).is_some();
+        let duplicate_key = digests
+            .iter()
+            .any(|digest| self.keys.insert(*digest, key).is_some_and(|other| other != key));
+        self.organisations.push(organisation);
+        !duplicate_name && !duplicate_key
     }
 
-    /// The organisation that has a key.
+    /// The organisation with an API key, given by its digest.
     pub fn of(&self, digest: Fingerprint) -> Option<&Organisation> {
-        self.keys.get(&digest).and_then(|it| self.get(*it))
+        self.keys.get(&digest).and_then(|key| self.get(*key))
     }
 
-    /// The organisation with a name between nodes.
+    /// The organisation with an identifier in messages between nodes.
     pub fn named(&self, tag: Tag) -> Option<&Organisation> {
-        self.tags.get(&tag).and_then(|it| self.get(*it))
+        self.tags.get(&tag).and_then(|key| self.get(*key))
     }
 
     fn get(&self, key: Key) -> Option<&Organisation> {
-        self.all.get(key.0 as usize)
+        self.organisations.get(key.0 as usize)
     }
 
-    /// How many there are.
+    /// Number of organisations.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.organisations.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no organisations.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.organisations.is_empty()
     }
 }
--- a/crates/state/src/policy.rs
+++ b/crates/state/src/policy.rs
@@ -1,10 +1,10 @@
-//! Policy: versions and publications.
+//! Policy versions and publications.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Number of a policy; only rises.
+/// Version number of the policy; it only increases.
 #[derive(
     Clone,
     Copy,
@@ -22,19 +22,19 @@
 #[display("{_0}")]
 pub struct Version(pub u64);
 
-/// One publication that counted.
+/// A publication that made a new policy version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
-    /// Identity given by its publisher.
+    /// Identifier chosen by its publisher.
     pub id: String,
     /// Version it made.
     pub version: Version,
-    /// Program text.
+    /// Source text of the policy program.
     pub program: String,
     /// Who published it.
     pub author: String,
-    /// Failure domains in which it is in force.
+    /// Failure domains that confirmed that all their nodes use it.
     pub confirmed: BTreeSet<String>,
-    /// Whether every failure domain had it in force.
+    /// Whether every failure domain has confirmed it.
     pub accepted: bool,
 }
--- a/crates/state/src/rate.rs
+++ b/crates/state/src/rate.rs
@@ -1,22 +1,22 @@
-//! Rates of requests.
+//! Request rates.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Highest rate that is taken for one, in requests a second: more than the largest fleet carries.
-const HIGHEST: f64 = 1_000_000.0;
+/// Highest valid rate, in requests a second; no fleet reaches it.
+const MAX_PER_SECOND: f64 = 1_000_000.0;
 
-/// Requests a second; zero is a rate.
+/// Rate in requests a second; may be zero.
 #[derive(Clone, Copy, Debug, Display, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Rate(f64);
 
-/// A figure that is no rate: negative, infinite, not a number or beyond any fleet.
+/// The value is not a rate: negative, infinite, not a number or too high.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq)]
-#[display("{figure} is no rate of requests")]
+#[display("{value} is no rate of requests")]
 pub struct Error {
-    /// The figure.
-    figure: f64,
+    /// Rejected value.
+    value: f64,
 }
 
 impl Rate {
@@ -29,8 +29,8 @@
 impl TryFrom<f64> for Rate {
     type Error = Error;
 
-    fn try_from(figure: f64) -> Result<Self, Error> {
-        if (0.0..=HIGHEST).contains(&figure) { Ok(Self(figure)) } else { Err(Error { figure }) }
+    fn try_from(value: f64) -> Result<Self, Error> {
+        if (0.0..=MAX_PER_SECOND).contains(&value) { Ok(Self(value)) } else { Err(Error { value }) }
     }
 }
 
--- a/crates/state/src/request.rs
+++ b/crates/state/src/request.rs
@@ -1,32 +1,32 @@
-//! Requests as the decisions see them.
+//! Requests: idempotency keys, latency classes, policy decisions and outcomes.
 
 use crate::hash;
 use crate::incarnation::Incarnation;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted key, in bytes.
-pub const KEY_BYTES: usize = 128;
+/// Longest accepted idempotency key, in bytes.
+pub const MAX_KEY_BYTES: usize = 128;
 
-/// Prefix of the keys that crosslane mints.
-const MINTED: &str = "cl-";
+/// Prefix of the keys that crosslane generates.
+const GENERATED_PREFIX: &str = "cl-";
 
-/// A caller's idempotency key, or a minted one.
+/// A caller's idempotency key, or one generated for a request without.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(String);
 
-/// Why a text is no key.
+/// Why a text is not a valid idempotency key.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// No characters.
-    #[display("an idempotency key has at least one character")]
+    /// It is empty.
+    #[display("idempotency key is empty")]
     Empty,
-    /// Over `KEY_BYTES`.
-    #[display("an idempotency key has at most {KEY_BYTES} bytes")]
-    Long,
-    /// Something else than visible ASCII.
-    #[display("an idempotency key has only visible ASCII characters")]
-    Character,
+    /// It has more than `MAX_KEY_BYTES` bytes.
+    #[display("idempotency key has more than {MAX_KEY_BYTES} bytes")]
+    TooLong,
+    /// It has a character other than visible ASCII.
+    #[display("idempotency key has a character other than visible ASCII")]
+    InvalidCharacter,
 }
 
 impl TryFrom<&str> for Key {
@@ -36,40 +36,40 @@
         if raw.is_empty() {
             return Err(KeyError::Empty);
         }
-        if raw.len() > KEY_BYTES {
-            return Err(KeyError::Long);
+        if raw.len() > MAX_KEY_BYTES {
+            return Err(KeyError::TooLong);
         }
         if !raw.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err(KeyError::Character);
+            return Err(KeyError::InvalidCharacter);
         }
         Ok(Self(raw.to_owned()))
     }
 }
 
 impl Key {
-    /// Mints a key that names its owner.
+    /// Generates a key that names its owner.
     pub fn mint(owner: Incarnation, sequence: u64) -> Self {
-        Self(format!("{MINTED}{owner}-{sequence:x}"))
+        Self(format!("{GENERATED_PREFIX}{owner}-{sequence:x}"))
     }
 
-    /// Owner named in a minted key.
+    /// Owner named in a generated key.
     pub fn minted_by(&self) -> Option<Incarnation> {
-        let (owner, _) = self.0.strip_prefix(MINTED)?.split_once('-')?;
+        let (owner, _) = self.0.strip_prefix(GENERATED_PREFIX)?.split_once('-')?;
         Incarnation::parse(owner)
     }
 
-    /// Hash by which an owner is chosen.
+    /// Hash by which the owner of the key is chosen.
     pub fn hash(&self) -> u64 {
         hash::of(self.0.as_bytes())
     }
 
-    /// The text.
+    /// Text of the key.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// How urgent a request is.
+/// Latency class of a request.
 #[derive(
     Clone,
     Copy,
@@ -85,38 +85,38 @@
     Deserialize,
 )]
 pub enum Class {
-    /// Served first.
+    /// Interactive: served first.
     #[display("quick")]
     Quick,
-    /// Waits behind quick work, with a bound.
+    /// Batch: waits behind quick requests, but only for a bounded time.
     #[default]
     #[display("patient")]
     Patient,
 }
 
-/// An organisation whose requests share fairly with others'.
+/// Hash of an organisation's name; organisations share engines fairly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Organisation(pub u64);
 
-/// What the policy decided for a request.
+/// Decision of the policy on a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Urgency.
+    /// Latency class.
     pub class: Class,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Failure domains in which it may run; empty for all.
+    /// Failure domains in which the request may run; empty for all.
     pub domains: Vec<String>,
 }
 
-/// How a request ended, or what is known of it.
+/// What a caller can rely on about a request that ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Ran to its end.
+    /// It ran to completion.
     #[display("done")]
     Done,
-    /// Nothing was handed to a runner under this key.
+    /// It was never handed to a runner under this key.
     #[display("not_run")]
     NotRun,
     /// It may have run.
--- a/crates/state/src/route.rs
+++ b/crates/state/src/route.rs
@@ -1,18 +1,18 @@
-//! One version of the configuration: routes, services and limits.
+//! A version of the configuration: routes, services and limits.
 
 use crate::organisation::Organisations;
 use std::collections::HashMap;
 
-/// What may be repeated.
+/// Which requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Idempotent.
+    /// Requests are idempotent.
     Safe,
-    /// At most one run.
+    /// A request runs at most once.
     Unsafe,
-    /// A stream of events; at most one run unless it may be resumed.
+    /// An event stream; runs at most once unless it is resumable.
     Stream {
-        /// Whether another endpoint may continue it.
+        /// Whether another endpoint may continue a broken stream.
         resumable: bool,
     },
 }
@@ -24,12 +24,12 @@
     }
 }
 
-/// A service's share of a route.
+/// Share of a route's traffic that goes to a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Weight among the shares of the route.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
@@ -38,84 +38,84 @@
 pub struct Route {
     /// Name.
     pub name: String,
-    /// Host it answers for, in lower case.
+    /// Host name that it matches, in lower case.
     pub host: String,
-    /// Path prefix, which ends with a slash.
+    /// Path prefix that it matches; ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Which requests may be repeated.
     pub kind: Kind,
-    /// Longest time a request is held, in milliseconds.
+    /// Time limit of a request, in milliseconds.
     pub timeout: u64,
-    /// Time within which an answer or its first event is on time, in milliseconds.
+    /// Target latency of a response or of a stream's first event, in milliseconds.
     pub target: u64,
-    /// Longest pause between events that is on time, in milliseconds.
+    /// Target for the longest gap between events of a stream, in milliseconds.
     pub gap: u64,
-    /// Endpoints to which one request may be sent.
+    /// Most endpoints to which one request is sent.
     pub attempts: u32,
-    /// Services behind it.
+    /// Services that share its traffic.
     pub shares: Vec<Share>,
-    /// Whether callers need no key.
+    /// Whether callers may omit the API key.
     pub open: bool,
 }
 
-/// Shortest silence after which callers give a stream up, in milliseconds.
-const LEAST_SILENCE: u64 = 2_000;
+/// Lower bound of the callers' idle timeout on a stream, in milliseconds.
+const MIN_CALLER_IDLE_TIMEOUT_MS: u64 = 2_000;
 
 impl Route {
-    /// Longest silence that a caller of a stream bears, in milliseconds; then it gives up.
+    /// Idle timeout of the callers of a stream: time without an event after which they give up, in milliseconds.
     pub fn silence(&self) -> u64 {
-        LEAST_SILENCE.max(4 * self.target).max(8 * self.gap)
+        MIN_CALLER_IDLE_TIMEOUT_MS.max(4 * self.target).max(8 * self.gap)
     }
 }
 
-/// What engines of a service can do.
+/// Properties of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// KV cache of one engine, in tokens.
+    /// KV cache capacity of one engine, in tokens.
     pub capacity: u64,
-    /// Longest reservation of memory, in milliseconds.
+    /// Longest time for which an engine reserves KV cache, in milliseconds.
     pub hold_limit: u64,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its engines, if it generates tokens.
+    /// Properties of its engines, if it generates tokens.
     pub engine: Option<Engine>,
-    /// Connections that one of its endpoints takes from all nodes together, if it is told.
+    /// Most connections to one of its endpoints, from all nodes together; `None` if the configuration gives none.
     pub connections: Option<u32>,
 }
 
-/// What callers may send, and how long connections rest.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Most bytes of a request's header.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Most bytes of a request's body.
     pub body_bytes: usize,
-    /// Time for a head to arrive, in milliseconds.
+    /// Time within which a header must arrive, in milliseconds.
     pub header_millis: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_millis: u64,
 }
 
-/// One version of the configuration.
+/// A version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// Version; later ones are higher.
+    /// Version number; it increases with each change.
     pub version: u64,
     /// Routes by host, longest prefix first.
     hosts: HashMap<String, Vec<Route>>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Limits on callers.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Who may call; without it anyone may.
+    /// Organisations that may send requests; without it, no API key is needed.
     pub organisations: Option<Organisations>,
 }
 
 impl Table {
-    /// A table of these routes.
+    /// A table of routes and services, without organisations.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -127,14 +127,14 @@
             hosts.entry(route.host.clone()).or_default().push(route);
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|it| std::cmp::Reverse(it.prefix.len()));
+            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         Self { version, hosts, services, limits, organisations: None }
     }
 
-    /// The route of a host with the longest prefix of a path.
+    /// The route of a host with the longest prefix of a path; a port after the host is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        self.hosts.get(&host)?.iter().find(|it| path.starts_with(&it.prefix))
+        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 }
--- a/crates/state/src/runner.rs
+++ b/crates/state/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runners: engines and plain services that do the work.
+//! Runners: the prefill engines, decode engines and plain services behind a node's own interface.
 
 use crate::hash;
 use derive_more::Display;
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 
 new_key_type! {
-    /// Place of a runner in this node's table.
+    /// Arena key of a runner in this node's table.
     pub struct Key;
 }
 
-/// Name of a runner between nodes: a hash of its name in the settings.
+/// Identifier of a runner in messages between nodes: a hash of its name in the settings.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,13 +20,13 @@
 pub struct Id(pub u64);
 
 impl Id {
-    /// Identity of the runner with this name.
+    /// Hashes a runner's name.
     pub fn of(name: &str) -> Self {
         Self(hash::of(name.as_bytes()))
     }
 }
 
-/// What a runner does.
+/// Work that a runner does.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -36,17 +36,17 @@
     /// Generates tokens.
     #[display("decode")]
     Decode,
-    /// Answers plain HTTP calls.
+    /// Answers plain HTTP requests.
     #[display("service")]
     Service,
 }
 
-/// One runner, as settings describe it.
+/// A runner, as described in the settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Runner {
-    /// Identity between nodes.
+    /// Identifier in messages between nodes.
     pub id: Id,
-    /// Name in settings.
+    /// Name in the settings.
     pub name: String,
     /// VM it runs on.
     pub vm: String,
@@ -54,15 +54,15 @@
     pub domain: String,
     /// Address of its HTTP interface.
     pub address: SocketAddr,
-    /// What it does.
+    /// Work that it does.
     pub role: Role,
-    /// Model served, or path prefix for a service.
+    /// Name of the model, or path prefix of a service.
     pub serves: String,
-    /// Requests it holds at once.
+    /// Most requests that it runs concurrently.
     pub slots: u32,
-    /// KV cache it holds, in tokens.
+    /// KV cache capacity, in tokens.
     pub kv_tokens: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     pub fences: bool,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Table {
-    /// Adds a runner; a second one of the same name replaces nothing.
+    /// Adds a runner; one with the same name stays as it is.
     pub fn insert(&mut self, runner: Runner) -> Key {
         if let Some(key) = self.ids.get(&runner.id) {
             return *key;
@@ -93,12 +93,12 @@
         self.arena.get(key)
     }
 
-    /// The runner with an identity.
+    /// The runner with an identifier.
     pub fn find(&self, id: Id) -> Option<&Runner> {
         self.ids.get(&id).and_then(|key| self.arena.get(*key))
     }
 
-    /// Keys of the runners with a role that serve a model or prefix.
+    /// Keys of the runners with a role for a model or path prefix.
     pub fn pool(&self, role: Role, serves: &str) -> &[Key] {
         self.pools.get(&(role, serves.to_owned())).map_or(&[], Vec::as_slice)
     }
--- a/crates/state/src/time.rs
+++ b/crates/state/src/time.rs
@@ -1,9 +1,9 @@
-//! Time as the pure layers see it: milliseconds handed in from outside.
+//! Time of the crates that use no clock: milliseconds passed in by the caller.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 
-/// Milliseconds since an arbitrary start of the process.
+/// Milliseconds since an arbitrary point near the start of the process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
