--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -1,19 +1,19 @@
-//! OpenAI-style completion requests and their answers.
+//! OpenAI-compatible completion requests and responses.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Tokens generated when a request does not say.
+/// Output limit of a request without `max_tokens`.
 pub const DEFAULT_MAX_TOKENS: u64 = 64;
 
-/// Most tokens that a request may ask for.
-pub const MOST_TOKENS: u64 = 16_384;
+/// Highest valid `max_tokens`.
+pub const MAX_OUTPUT_TOKENS: u64 = 16_384;
 
-/// Bytes taken for one token in estimates.
+/// Bytes of a token in length estimates.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Which of the two forms a request has.
+/// API that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Form {
     /// `/v1/completions`.
@@ -23,7 +23,7 @@
 }
 
 impl Form {
-    /// The form served at a path.
+    /// The API served at a path.
     pub fn at(path: &str) -> Option<Self> {
         match path {
             "/v1/completions" => Some(Self::Text),
@@ -33,45 +33,45 @@
     }
 }
 
-/// A checked completion request.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Text or chat.
+    /// Text or chat completion.
     pub form: Form,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt; of a chat, its messages one after another.
+    /// Prompt; for a chat, its messages joined by line feeds.
     pub prompt: String,
     /// Most tokens to generate.
     pub max_tokens: u64,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
-/// Why a body is no completion request.
+/// Why a body is not a valid completion request.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Not JSON.
-    #[display("the body is not JSON: {message}")]
+    /// It is not JSON.
+    #[display("body is not JSON: {message}")]
     Json {
-        /// Parser's words.
+        /// The parser's error message.
         message: String,
     },
     /// A field is missing or of the wrong type.
     #[display("{field}: expected {expected}")]
     Field {
-        /// Field.
+        /// Name of the field.
         field: &'static str,
-        /// What it should be.
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
 
-/// A body together with the form that its path demands.
+/// A request body, not yet validated, with the API of its path.
 pub struct Raw<'a> {
-    /// Text or chat.
+    /// Text or chat completion.
     pub form: Form,
-    /// Body as it came.
+    /// Body as received.
     pub body: &'a [u8],
 }
 
@@ -96,26 +96,26 @@
 }
 
 impl Completion {
-    /// Estimated length of the prompt, in tokens.
+    /// Estimates the length of the prompt, in tokens.
     pub fn prompt_tokens(&self) -> u64 {
         tokens(&self.prompt)
     }
 
-    /// Body of one streamed piece.
-    pub fn chunk<'a>(&'a self, id: &'a str, piece: &'a str) -> Body<'a> {
-        Body { choices: [Choice::new(self.form, piece, Place::Piece)], ..self.body(id, true) }
+    /// Body of a streamed chunk.
+    pub fn chunk<'a>(&'a self, id: &'a str, text: &'a str) -> Body<'a> {
+        Body { choices: [Choice::new(self.form, text, Kind::Chunk)], ..self.body(id, true) }
     }
 
-    /// Body that closes a stream.
-    pub fn last_chunk<'a>(&'a self, id: &'a str, generated: u64) -> Body<'a> {
-        let choices = [Choice::new(self.form, "", Place::Last)];
-        Body { choices, usage: Some(self.usage(generated)), ..self.body(id, true) }
+    /// Body of the last chunk of a stream.
+    pub fn last_chunk<'a>(&'a self, id: &'a str, generated_tokens: u64) -> Body<'a> {
+        let choices = [Choice::new(self.form, "", Kind::LastChunk)];
+        Body { choices, usage: Some(self.usage(generated_tokens)), ..self.body(id, true) }
     }
 
-    /// Body of a whole answer.
-    pub fn whole<'a>(&'a self, id: &'a str, answer: &'a str, generated: u64) -> Body<'a> {
-        let choices = [Choice::new(self.form, answer, Place::Whole)];
-        Body { choices, usage: Some(self.usage(generated)), ..self.body(id, false) }
+    /// Body of a response that is not streamed.
+    pub fn whole<'a>(&'a self, id: &'a str, text: &'a str, generated_tokens: u64) -> Body<'a> {
+        let choices = [Choice::new(self.form, text, Kind::Full)];
+        Body { choices, usage: Some(self.usage(generated_tokens)), ..self.body(id, false) }
     }
 
     fn body<'a>(&'a self, id: &'a str, chunk: bool) -> Body<'a> {
@@ -124,21 +124,21 @@
             (Form::Chat, true) => "chat.completion.chunk",
             (Form::Chat, false) => "chat.completion",
         };
-        let choices = [Choice::new(self.form, "", Place::Piece)];
+        let choices = [Choice::new(self.form, "", Kind::Chunk)];
         Body { id, object, model: &self.model, choices, usage: None }
     }
 
-    fn usage(&self, generated: u64) -> Usage {
+    fn usage(&self, generated_tokens: u64) -> Usage {
         let prompt = self.prompt_tokens();
         Usage {
             prompt_tokens: prompt,
-            completion_tokens: generated,
-            total_tokens: prompt + generated,
+            completion_tokens: generated_tokens,
+            total_tokens: prompt + generated_tokens,
         }
     }
 }
 
-/// Body of an answer, whole or in pieces.
+/// Body of a response, or of a chunk of a streamed one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Body<'a> {
     id: &'a str,
@@ -149,7 +149,7 @@
     usage: Option<Usage>,
 }
 
-/// Tokens that a request cost.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct Usage {
     prompt_tokens: u64,
@@ -157,12 +157,12 @@
     total_tokens: u64,
 }
 
-/// Where in an answer a text stands.
+/// Part of a response that a body holds.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Place {
-    Piece,
-    Last,
-    Whole,
+enum Kind {
+    Chunk,
+    LastChunk,
+    Full,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -184,21 +184,21 @@
 }
 
 impl<'a> Choice<'a> {
-    fn new(form: Form, text: &'a str, place: Place) -> Self {
-        let message = |wanted: bool| {
-            (form == Form::Chat && wanted).then_some(Message { role: "assistant", content: text })
+    fn new(form: Form, text: &'a str, kind: Kind) -> Self {
+        let message = |present: bool| {
+            (form == Form::Chat && present).then_some(Message { role: "assistant", content: text })
         };
         Self {
             index: 0,
             text: (form == Form::Text).then_some(text),
-            delta: message(place != Place::Whole),
-            message: message(place == Place::Whole),
-            finish_reason: (place != Place::Piece).then_some("stop"),
+            delta: message(kind != Kind::Full),
+            message: message(kind == Kind::Full),
+            finish_reason: (kind != Kind::Chunk).then_some("stop"),
         }
     }
 }
 
-/// Estimated length of a text, in tokens.
+/// Estimates the length of a text, in tokens.
 pub fn tokens(text: &str) -> u64 {
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
@@ -206,20 +206,20 @@
 fn text(value: &Value, field: &'static str) -> Result<String, Error> {
     match value.get(field).and_then(Value::as_str) {
         Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => Err(Error::Field { field, expected: "a string that is not empty" }),
+        _ => Err(Error::Field { field, expected: "a non-empty string" }),
     }
 }
 
 fn messages(value: &Value) -> Result<String, Error> {
-    let wrong = || Error::Field {
+    let invalid = || Error::Field {
         field: "messages",
         expected: "an array of objects with a string content",
     };
-    let list = value.get("messages").and_then(Value::as_array).ok_or_else(wrong)?;
+    let list = value.get("messages").and_then(Value::as_array).ok_or_else(invalid)?;
     let contents: Option<Vec<&str>> =
-        list.iter().map(|it| it.get("content").and_then(Value::as_str)).collect();
-    let joined = contents.ok_or_else(wrong)?.join("\n");
-    if joined.is_empty() { Err(wrong()) } else { Ok(joined) }
+        list.iter().map(|message| message.get("content").and_then(Value::as_str)).collect();
+    let joined = contents.ok_or_else(invalid)?.join("\n");
+    if joined.is_empty() { Err(invalid()) } else { Ok(joined) }
 }
 
 fn max_tokens(value: &Value) -> Result<u64, Error> {
@@ -227,7 +227,7 @@
         return Ok(DEFAULT_MAX_TOKENS);
     };
     raw.as_u64()
-        .filter(|it| (1..=MOST_TOKENS).contains(it))
+        .filter(|count| (1..=MAX_OUTPUT_TOKENS).contains(count))
         .ok_or(Error::Field { field: "max_tokens", expected: "a whole number from 1 to 16384" })
 }
 
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,4 +1,4 @@
-//! Messages of the engine interface; docs/ENGINES.md says what each call promises.
+//! Messages of the engine interface; docs/ENGINES.md specifies each call.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -6,24 +6,24 @@
 /// Body of `POST /prefill`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefill {
-    /// Attempt that will own the KV cache.
+    /// Attempt that the KV cache is computed for.
     pub attempt: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// Prompt.
     pub prompt: String,
-    /// Tokens of the answer that an earlier attempt has already given.
+    /// Output tokens that an earlier attempt has already generated.
     pub done: u64,
-    /// Whether quick.
+    /// Whether the request is of the quick (interactive) class.
     pub quick: bool,
 }
 
-/// Answer of `POST /prefill`.
+/// Response to `POST /prefill`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefilled {
-    /// Tokens held.
+    /// Size of the KV cache, in tokens.
     pub tokens: u64,
-    /// Tokens found in the prefix cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached: u64,
 }
 
@@ -32,18 +32,18 @@
 pub struct Import {
     /// Attempt.
     pub attempt: String,
-    /// Address of the engine that holds its KV cache.
+    /// Address of the engine that holds the KV cache.
     pub source: String,
-    /// Most tokens that will be generated.
+    /// Maximum length of the output, in tokens.
     pub max_tokens: u64,
 }
 
-/// Answer of `GET /export/ATTEMPT`, after which the body's length stands for the KV cache.
+/// Response to `GET /export/ATTEMPT`; followed by padding of the size of the KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Export {
-    /// Prompt whose KV cache this is.
+    /// Prompt that the KV cache belongs to.
     pub prompt: String,
-    /// Tokens of the answer already given.
+    /// Output tokens already generated.
     pub done: u64,
 }
 
@@ -52,22 +52,22 @@
 pub struct Decode {
     /// Attempt.
     pub attempt: String,
-    /// Offset of the first piece wanted, in tokens of the whole answer.
+    /// Offset in the output from which to stream, in tokens.
     pub from: u64,
-    /// Length of the whole answer at the most, in tokens.
+    /// Maximum length of the output, in tokens.
     pub max_tokens: u64,
 }
 
-/// Line of a decode stream as it comes.
+/// Line of a decode stream, not yet validated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawLine {
-    /// Offset of a piece, in tokens of the whole answer.
+    /// Offset of a token in the output.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub o: Option<u64>,
-    /// Text of a piece.
+    /// Text of a token.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub t: Option<String>,
-    /// End mark: tokens of the whole answer.
+    /// On the last line: length of the output, in tokens.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub end: Option<u64>,
 }
@@ -75,23 +75,23 @@
 /// Line of a decode stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// One piece.
+    /// One token of the output.
     Piece {
-        /// Offset in tokens of the whole answer.
+        /// Offset of the token in the output.
         offset: u64,
         /// Text.
         text: String,
     },
-    /// End mark.
+    /// The last line.
     End {
-        /// Tokens of the whole answer.
+        /// Length of the output, in tokens.
         total: u64,
     },
 }
 
-/// A line that is neither a piece nor an end mark.
+/// The line is neither a token nor the last line.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("a line has an offset and a text, or an end")]
+#[display("line of a decode stream must have either `o` and `t` or `end`")]
 pub struct LineError;
 
 impl TryFrom<RawLine> for Line {
@@ -102,7 +102,7 @@
             RawLine { o: Some(offset), t: Some(text), end: None } => {
                 Ok(Self::Piece { offset, text })
             }
-            RawLine { o: None, t: None, end: Some(total) } => Ok(Self::End { total }),
+            RawLine { o: None, t: None, end: Some(length) } => Ok(Self::End { total: length }),
             _ => Err(LineError),
         }
     }
@@ -117,54 +117,54 @@
     }
 }
 
-/// One attempt that an engine holds memory for.
+/// An attempt for which an engine holds KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// Attempt.
     pub attempt: String,
-    /// KV cache, in tokens.
+    /// Size of the KV cache, in tokens.
     pub tokens: u64,
 }
 
-/// Answer of `GET /held`.
+/// Response to `GET /held`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldList {
-    /// All that hold memory.
+    /// All attempts for which the engine holds KV cache.
     pub held: Vec<Held>,
 }
 
-/// Answer of `GET /load`; lags.
+/// Response to `GET /load`; may be outdated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in slots.
+    /// Slots in use.
     pub busy: u32,
-    /// KV cache held, in tokens.
+    /// KV cache in use, in tokens.
     pub kv_tokens: u64,
 }
 
 /// Body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number: offset of the log record that made the sender owner.
+    /// Fencing token: offset of the log record that made the sender the owner.
     pub fence: u64,
     /// Model to load.
     pub load_model: String,
 }
 
-/// One cache event.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Number of the event; gaps mean lost events.
+    /// Number of the event; a gap means that events were lost.
     pub sequence: u64,
-    /// Hash of the prefix.
+    /// Hash of the cached prefix.
     pub prefix: u64,
-    /// Whether it was stored, else evicted.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// Answer of `GET /events?from=N`.
+/// Response to `GET /events?from=N`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Events {
-    /// Events from N on.
+    /// Events from number N on.
     pub events: Vec<Event>,
 }
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -1,4 +1,4 @@
-//! Log records in their written form: JSON with a format number.
+//! Log records in their stored form: JSON with a format number.
 
 use crosslane_coordination::record::Record;
 use crosslane_state::incarnation::Incarnation;
@@ -8,29 +8,29 @@
 /// Format number that this release writes and reads.
 pub const FORMAT: u32 = 1;
 
-/// Why a written record can't be read.
+/// Why a stored record can't be decoded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Torn or foreign: skipped, by every node alike.
-    #[display("not a record: {message}")]
+    /// It is torn or not a record at all; every node skips it.
+    #[display("malformed record: {message}")]
     Torn {
-        /// Parser's words.
+        /// The parser's error message.
         message: String,
     },
-    /// From a newer release: folding stops here.
-    #[display("record has format {format}, this release reads {FORMAT}")]
+    /// It was written by a newer release; the log can't be folded beyond it.
+    #[display("unsupported record format {format}; this release reads up to {FORMAT}")]
     Newer {
         /// Format number found.
         format: u32,
     },
 }
 
-/// A record as written.
+/// A record as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Raw<'a>(pub &'a str);
 
 #[derive(Deserialize)]
-struct Head {
+struct Header {
     format: u32,
 }
 
@@ -40,12 +40,12 @@
     record: T,
 }
 
-/// Claims appended together.
+/// Claims on idempotency keys, appended as one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// Node that claims.
     pub by: Incarnation,
-    /// Hashes of the keys.
+    /// Hashes of the claimed keys.
     pub keys: Vec<u64>,
 }
 
@@ -53,7 +53,7 @@
     type Error = Error;
 
     fn try_from(raw: Raw<'_>) -> Result<Self, Error> {
-        read(raw.0)
+        decode(raw.0)
     }
 }
 
@@ -61,21 +61,21 @@
     type Error = Error;
 
     fn try_from(raw: Raw<'_>) -> Result<Self, Error> {
-        read(raw.0)
+        decode(raw.0)
     }
 }
 
-/// Writes a record.
+/// Encodes a record with the current format number.
 pub fn write(record: &impl Serialize) -> String {
     serde_json::to_string(&Envelope { format: FORMAT, record }).unwrap_or_default()
 }
 
-fn read<T: for<'de> Deserialize<'de>>(text: &str) -> Result<T, Error> {
-    let torn = |error: serde_json::Error| Error::Torn { message: error.to_string() };
-    let head: Head = serde_json::from_str(text).map_err(torn)?;
-    if head.format > FORMAT {
-        return Err(Error::Newer { format: head.format });
+fn decode<T: for<'de> Deserialize<'de>>(text: &str) -> Result<T, Error> {
+    let malformed = |error: serde_json::Error| Error::Torn { message: error.to_string() };
+    let header: Header = serde_json::from_str(text).map_err(malformed)?;
+    if header.format > FORMAT {
+        return Err(Error::Newer { format: header.format });
     }
-    let envelope: Envelope<T> = serde_json::from_str(text).map_err(torn)?;
+    let envelope: Envelope<T> = serde_json::from_str(text).map_err(malformed)?;
     Ok(envelope.record)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages of crosslane, checked from raw input.
+//! Typed messages of crosslane, parsed and validated from raw input.
 
 pub mod completion;
 pub mod engine;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -13,65 +13,65 @@
 use crosslane_state::runner;
 use serde::{Deserialize, Serialize};
 
-/// What a node tells its neighbours at each heartbeat.
+/// Heartbeat that neighbours exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
     /// Sender.
     pub from: Incarnation,
-    /// Policy version in force there.
+    /// Policy version that the sender uses.
     pub version: Version,
-    /// Load of the runners it owns.
+    /// Load of the runners that the sender owns.
     pub loads: Vec<(runner::Id, Report)>,
-    /// Announcements that the log may not have.
+    /// Leave announcements, which may not be in the log yet.
     pub leaves: Vec<Leave>,
-    /// The sender itself, while others may not have it from the log.
+    /// Description of the sender, while its join may not have reached others through the log.
     pub newcomer: Option<Member>,
 }
 
-/// What a node knows, for one that starts while the log is out.
+/// State for a node that starts while the log is unavailable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Folded log.
+    /// State folded from the control stream of the log.
     pub state: fold::State,
-    /// Nodes that the log does not have.
+    /// Nodes whose join is not in the log.
     pub guests: Vec<Member>,
 }
 
-/// A key with its fingerprint and answer, handed over by a node that stops.
+/// Idempotency record that a stopping node hands over to the next owner of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ending {
-    /// Key.
+    /// Idempotency key.
     pub key: Key,
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Answer, if still kept.
+    /// Recorded response, if it is still kept.
     pub answer: Option<Answer>,
 }
 
 /// Calls between nodes.
 #[tarpc::service]
 pub trait Peer {
-    /// Exchanges heartbeats.
+    /// Takes the caller's heartbeat and returns the callee's.
     async fn beat(beat: Beat) -> Beat;
-    /// Asks for a slot of a runner that the callee owns.
+    /// Reserves a slot of a runner that the callee owns.
     async fn reserve(runner: runner::Id, ask: Ask) -> Grant;
-    /// Gives a slot back.
+    /// Frees a slot of a runner that the callee owns.
     async fn release(runner: runner::Id, attempt: attempt::Id);
-    /// Which of the callee's attempts it still wants.
+    /// For each of the callee's attempts, whether it is still in use.
     async fn wanted(attempts: Vec<attempt::Id>) -> Vec<bool>;
-    /// Makes the callee give a key up; true when it knows nothing under it.
+    /// Releases a key to the caller unless the callee has a record of it; true if it is released.
     async fn inquire(key: Key, by: Incarnation) -> bool;
-    /// Whether the callee hears a node.
+    /// Indirect probe: whether the callee can reach a node that the caller suspects.
     async fn hears(node: Incarnation) -> bool;
-    /// Leaves copies of claims while the log is out; false when one can't be taken.
+    /// Stores copies of the caller's claims while the log is unavailable; false if one is rejected.
     async fn copy_claims(by: Incarnation, keys: Vec<u64>) -> bool;
-    /// Copies of a departed node's claims.
+    /// Returns the copies that the callee holds of a departed node's claims.
     async fn copied_claims(by: Incarnation) -> Vec<u64>;
-    /// Hands over endings.
+    /// Hands over idempotency records.
     async fn handover(endings: Vec<Ending>);
-    /// What the callee knows, for a node that starts while the log is out.
+    /// Returns the callee's state, for a node that starts while the log is unavailable.
     async fn snapshot() -> Snapshot;
-    /// Requests in progress at the callee that touch a VM; for its own VM also whether it
-    /// has not stopped yet.
+    /// Number of requests in progress at the callee that use a VM. For the callee's own VM, this is all its
+    /// requests in progress, and one more until the callee has stopped.
     async fn busy(vm: String) -> u32;
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,53 +1,53 @@
-//! Messages of the platform's log service and VM list.
+//! Messages of the platform's log service and of its VM list.
 
 use serde::{Deserialize, Serialize};
 
-/// Stream of membership, leaving VMs and policy.
+/// Log stream of membership, leaving VMs and policy.
 pub const CONTROL: &str = "control";
 
-/// Stream of claims on requests that may not be repeated.
+/// Log stream of claims on the idempotency keys of requests that may run only once.
 pub const CLAIMS: &str = "claims";
 
 /// Body of `POST /streams/NAME`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
-    /// Records, appended together.
+    /// Records to append together.
     pub records: Vec<String>,
 }
 
-/// Answer of `POST /streams/NAME`.
+/// Response to `POST /streams/NAME`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset of the first of them.
+    /// Offset of the first appended record.
     pub offset: u64,
 }
 
-/// Answer of `GET /streams/NAME?from=OFFSET&wait=MILLIS`.
+/// Response to `GET /streams/NAME?from=OFFSET&wait=MILLIS`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Oldest offset still kept.
+    /// Offset of the oldest record that the log still keeps.
     pub first: u64,
-    /// Offset of the first record here.
+    /// Offset of the first record of this page.
     pub from: u64,
     /// Offset after the newest record.
     pub tail: u64,
-    /// Records.
+    /// Records of this page.
     pub records: Vec<String>,
 }
 
-/// State of a VM in the platform's list.
+/// State of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Runs.
+    /// It runs.
     Live,
-    /// Will go.
+    /// It will be stopped.
     Leaving,
-    /// Does not run and will not again under this incarnation.
+    /// It has stopped; if it starts again, it does so as another incarnation.
     Gone,
 }
 
-/// One VM of the list.
+/// A VM of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Name.
@@ -56,7 +56,7 @@
     pub state: State,
 }
 
-/// Answer of `GET /vms`; lags.
+/// Response to `GET /vms`; may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
     /// All VMs.
--- a/crates/protocol/src/refusal.rs
+++ b/crates/protocol/src/refusal.rs
@@ -1,53 +1,53 @@
-//! Refusals: what a caller is told when there is no answer.
+//! Refusals: error responses to callers.
 
 use crosslane_state::request::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// Stable reason of a refusal.
+/// Reason of a refusal; part of the interface for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The body is not the JSON that is expected.
+    /// The body is not the expected JSON.
     BadBody,
     /// A header is malformed.
     BadHeader,
     /// The body is too long.
     BodyTooLong,
-    /// The body did not come in time or broke off.
+    /// The body did not arrive in time, or its connection broke.
     BodyIncomplete,
-    /// No service or model answers to this.
+    /// No service or model matches the request.
     NoRoute,
-    /// The key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyMismatch,
-    /// An earlier request under the key may have run.
+    /// An earlier request with the key may have run; its outcome is unknown.
     KeyUnknown,
-    /// A departed node may have run a request under the key; this is being found out.
+    /// A departed node may have run a request with the key; its claims are still being collected.
     KeyInDoubt,
-    /// No room to remember the key.
+    /// No room for another idempotency record.
     LedgerFull,
     /// The node is not ready.
     NotReady,
     /// The node is leaving.
     Leaving,
-    /// No slot in time.
+    /// No slot becomes free in time.
     Overloaded,
-    /// No usable runner.
+    /// No runner is usable.
     NoRunner,
-    /// The owner of the key can't be reached.
+    /// The node that owns the key can't be reached.
     OwnerUnreachable,
-    /// Neither the log nor a peer can take the claim.
+    /// Neither the log nor a neighbour can record the claim on the key.
     ClaimUnavailable,
-    /// A runner failed and no retry was possible.
+    /// A runner failed, and no retry was possible.
     RunnerFailed,
-    /// The runner's answer is too long.
+    /// The runner's response is too long.
     AnswerTooLong,
-    /// The policy failed on this request.
+    /// The policy program failed on the request.
     PolicyFailed,
-    /// The caller had left.
+    /// The caller closed its connection.
     CallerLeft,
 }
 
-/// Row of the table of codes: name, HTTP status.
+/// Row of the table of codes: code, name, HTTP status.
 type Row = (Code, &'static str, u16);
 
 /// Every code with its name and HTTP status.
@@ -74,7 +74,7 @@
 ];
 
 impl Code {
-    /// Name in JSON and in counters.
+    /// Name in JSON and in metrics.
     pub fn name(self) -> &'static str {
         self.row().1
     }
@@ -92,29 +92,29 @@
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Reason.
+    /// Reason code.
     pub code: Code,
-    /// What is known of the run.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// For a person.
+    /// Human-readable description.
     pub message: String,
-    /// When coming back helps, in milliseconds.
+    /// Time after which a retry is worthwhile, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request of which nothing was handed to a runner.
+    /// Refuses a request that was never handed to a runner.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self { code, outcome: Outcome::NotRun, message: message.into(), retry_after_ms: None }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that may have run.
     pub fn unknown(code: Code, message: impl Into<String>) -> Self {
         Self { code, outcome: Outcome::Unknown, message: message.into(), retry_after_ms: None }
     }
 
-    /// Says when coming back helps, in milliseconds.
+    /// Adds the time after which a retry is worthwhile, in milliseconds.
     pub fn retry_after(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
--- a/crates/protocol/src/section.rs
+++ b/crates/protocol/src/section.rs
@@ -1,6 +1,6 @@
-//! Reading of settings: JSON with comments, where each mistake is kept with its place.
+//! Typed access to a settings file, JSON with comments; collects every error with its line and key.
 
-use crate::settings::Mistake;
+use crate::settings::Diagnostic;
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 use std::cell::RefCell;
@@ -8,48 +8,52 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Collects the mistakes of one file.
-pub(crate) struct Report<'a> {
-    pub(crate) text: &'a str,
-    pub(crate) mistakes: RefCell<Vec<Mistake>>,
+/// Collects the errors of one file.
+pub(crate) struct Diagnostics<'a> {
+    pub(crate) source: &'a str,
+    pub(crate) list: RefCell<Vec<Diagnostic>>,
 }
 
-impl Report<'_> {
-    pub(crate) fn add(&self, at: usize, key: String, expected: &str, found: String) {
-        let line = self.text[..at.min(self.text.len())].matches('\n').count() + 1;
-        let mistake = Mistake { line, key, expected: expected.to_owned(), found };
-        self.mistakes.borrow_mut().push(mistake);
+impl Diagnostics<'_> {
+    pub(crate) fn add(&self, offset: usize, key: String, expected: &str, found: String) {
+        let line = self.source[..offset.min(self.source.len())].matches('\n').count() + 1;
+        let diagnostic = Diagnostic { line, key, expected: expected.to_owned(), found };
+        self.list.borrow_mut().push(diagnostic);
     }
 }
 
-/// One object of the settings; a missing one stands for its defaults.
+/// An object of the settings; a missing one reads as an empty object.
 pub(crate) struct Section<'a> {
-    report: &'a Report<'a>,
+    diagnostics: &'a Diagnostics<'a>,
     object: Option<&'a Object<'a>>,
     path: String,
-    at: usize,
-    known: RefCell<BTreeSet<&'static str>>,
+    offset: usize,
+    requested: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'a> Section<'a> {
-    pub(crate) fn new(report: &'a Report<'a>, value: &'a Value<'a>, path: String) -> Self {
+    pub(crate) fn new(
+        diagnostics: &'a Diagnostics<'a>,
+        value: &'a Value<'a>,
+        path: String,
+    ) -> Self {
         let object = value.as_object();
-        let at = value.start();
+        let offset = value.start();
         if object.is_none() {
-            report.add(at, path.clone(), "an object", show(report.text, value));
+            diagnostics.add(offset, path.clone(), "an object", excerpt(diagnostics.source, value));
         }
-        Self { report, object, path, at, known: RefCell::default() }
+        Self { diagnostics, object, path, offset, requested: RefCell::default() }
     }
 
     pub(crate) fn section(&self, key: &'static str) -> Section<'a> {
         match self.value(key) {
-            Some(value) => Section::new(self.report, value, self.name(key)),
+            Some(value) => Section::new(self.diagnostics, value, self.key_path(key)),
             None => Section {
-                report: self.report,
+                diagnostics: self.diagnostics,
                 object: None,
-                path: self.name(key),
-                at: self.at,
-                known: RefCell::default(),
+                path: self.key_path(key),
+                offset: self.offset,
+                requested: RefCell::default(),
             },
         }
     }
@@ -59,16 +63,18 @@
             return Vec::new();
         };
         let Some(array) = value.as_array() else {
-            self.wrong(key, value, "an array of objects");
+            self.report_invalid(key, value, "an array of objects");
             return Vec::new();
         };
-        let path = |place| format!("{}[{place}]", self.name(key));
+        let path = |index| format!("{}[{index}]", self.key_path(key));
         let elements = array.elements.iter().enumerate();
-        elements.map(|(place, it)| Section::new(self.report, it, path(place))).collect()
+        elements
+            .map(|(index, element)| Section::new(self.diagnostics, element, path(index)))
+            .collect()
     }
 
     pub(crate) fn text(&self, key: &'static str) -> String {
-        self.required(key, "a string that is not empty", |value| {
+        self.required(key, "a non-empty string", |value| {
             let text = value.as_string_lit()?.value.to_string();
             (!text.is_empty()).then_some(text)
         })
@@ -79,7 +85,7 @@
     }
 
     pub(crate) fn address(&self, key: &'static str) -> SocketAddr {
-        self.required(key, ADDRESS, address)
+        self.required(key, EXPECTED_ADDRESS, parse_address)
     }
 
     pub(crate) fn optional_address(&self, key: &'static str) -> Option<SocketAddr> {
@@ -90,11 +96,12 @@
         let Some(value) = self.value(key) else {
             return Vec::new();
         };
-        let parsed = value.as_array().map(|it| it.elements.iter().map(address).collect());
+        let parsed =
+            value.as_array().map(|array| array.elements.iter().map(parse_address).collect());
         match parsed {
             Some(Some(list)) => list,
             _ => {
-                self.wrong(key, value, "an array of IP:PORT strings");
+                self.report_invalid(key, value, "an array of IP:PORT strings");
                 Vec::new()
             }
         }
@@ -110,11 +117,11 @@
         let Some(value) = self.value(key) else {
             return default;
         };
-        let parsed = value.as_number_lit().and_then(|it| it.value.parse().ok());
-        match parsed.filter(|it| range.contains(it)) {
+        let parsed = value.as_number_lit().and_then(|literal| literal.value.parse().ok());
+        match parsed.filter(|number| range.contains(number)) {
             Some(number) => number,
             None => {
-                self.wrong(key, value, &expected);
+                self.report_invalid(key, value, &expected);
                 default
             }
         }
@@ -127,7 +134,7 @@
         match value.as_boolean_lit() {
             Some(literal) => literal.value,
             None => {
-                self.wrong(key, value, "true or false");
+                self.report_invalid(key, value, "true or false");
                 default
             }
         }
@@ -144,29 +151,36 @@
         let fallback = default.unwrap_or(choices[0].1);
         let Some(value) = self.value(key) else {
             if default.is_none() {
-                self.missing(key, &expected);
+                self.report_missing(key, &expected);
             }
             return fallback;
         };
-        let text = value.as_string_lit().map(|it| it.value.as_ref()).unwrap_or_default();
+        let text = value.as_string_lit().map(|literal| literal.value.as_ref()).unwrap_or_default();
         match choices.iter().find(|(name, _)| *name == text) {
             Some((_, choice)) => *choice,
             None => {
-                self.wrong(key, value, &expected);
+                self.report_invalid(key, value, &expected);
                 fallback
             }
         }
     }
 
-    /// Reports the keys that nobody asked for.
-    pub(crate) fn close(self) {
-        let known = self.known.borrow();
-        let properties = self.object.map_or(&[][..], |it| &it.properties);
-        for property in properties.iter().filter(|it| !known.contains(it.name.as_str())) {
-            let names: Vec<_> = known.iter().copied().collect();
+    /// Reports each key of the object that was never requested as unknown.
+    pub(crate) fn reject_unknown_keys(self) {
+        let requested = self.requested.borrow();
+        let properties = self.object.map_or(&[][..], |object| &object.properties);
+        for property in
+            properties.iter().filter(|property| !requested.contains(property.name.as_str()))
+        {
+            let names: Vec<_> = requested.iter().copied().collect();
             let expected = format!("one of the keys {}", names.join(", "));
             let name = property.name.as_str();
-            self.report.add(property.start(), self.name(name), &expected, "another key".into());
+            self.diagnostics.add(
+                property.start(),
+                self.key_path(name),
+                &expected,
+                "an unknown key".into(),
+            );
         }
     }
 
@@ -177,36 +191,39 @@
         parse: impl Fn(&Value<'_>) -> Option<T>,
     ) -> T {
         let Some(value) = self.value(key) else {
-            self.missing(key, expected);
+            self.report_missing(key, expected);
             return T::placeholder();
         };
         parse(value).unwrap_or_else(|| {
-            self.wrong(key, value, expected);
+            self.report_invalid(key, value, expected);
             T::placeholder()
         })
     }
 
     fn value(&self, key: &'static str) -> Option<&'a Value<'a>> {
-        self.known.borrow_mut().insert(key);
+        self.requested.borrow_mut().insert(key);
         let properties = &self.object?.properties;
-        properties.iter().find(|it| it.name.as_str() == key).map(|it| &it.value)
+        properties
+            .iter()
+            .find(|property| property.name.as_str() == key)
+            .map(|property| &property.value)
     }
 
-    fn name(&self, key: &str) -> String {
+    fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    fn wrong(&self, key: &str, value: &Value<'_>, expected: &str) {
-        let found = show(self.report.text, value);
-        self.report.add(value.start(), self.name(key), expected, found);
+    fn report_invalid(&self, key: &str, value: &Value<'_>, expected: &str) {
+        let found = excerpt(self.diagnostics.source, value);
+        self.diagnostics.add(value.start(), self.key_path(key), expected, found);
     }
 
-    fn missing(&self, key: &str, expected: &str) {
-        self.report.add(self.at, self.name(key), expected, "nothing".to_owned());
+    fn report_missing(&self, key: &str, expected: &str) {
+        self.diagnostics.add(self.offset, self.key_path(key), expected, "nothing".to_owned());
     }
 }
 
-/// Stands in for a value that was reported as wrong.
+/// Value used in place of one that was reported, so that the rest of the file is still checked.
 trait Placeholder {
     fn placeholder() -> Self;
 }
@@ -223,16 +240,16 @@
     }
 }
 
-const ADDRESS: &str = "a string IP:PORT";
+const EXPECTED_ADDRESS: &str = "a string IP:PORT";
 
-/// Longest piece of a file shown in a mistake, in characters.
-const SHOWN: usize = 40;
+/// Longest excerpt of a file in an error message, in characters.
+const MAX_EXCERPT_CHARS: usize = 40;
 
-fn address(value: &Value<'_>) -> Option<SocketAddr> {
+fn parse_address(value: &Value<'_>) -> Option<SocketAddr> {
     value.as_string_lit()?.value.parse().ok()
 }
 
-fn show(text: &str, value: &Value<'_>) -> String {
+fn excerpt(source: &str, value: &Value<'_>) -> String {
     let range = value.range();
-    text.get(range.start..range.end).unwrap_or_default().chars().take(SHOWN).collect()
+    source.get(range.start..range.end).unwrap_or_default().chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of a node, checked from JSON with comments.
+//! Settings of a node, parsed from JSON with comments.
 //!
-//! Every mistake of a file is reported at once, each with its line, key, what was expected
-//! and what was found.
+//! All errors of a file are reported together, each with its line, its key, the expected value and the
+//! value found.
 
-use crate::section::{Report, Section};
+use crate::section::{Diagnostics, Section};
 use crosslane_coordination::{ledger, placement::Mode};
 use crosslane_state::runner::{Id, Role, Runner};
 use derive_more::{Display, Error};
@@ -12,124 +12,128 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// One mistake in a file.
+/// An error at one place of a file.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("line {line}: {key}: expected {expected}, found {found}")]
-pub struct Mistake {
-    /// Line, from one.
+pub struct Diagnostic {
+    /// Line number, from one.
     pub line: usize,
-    /// Path of the key.
+    /// Path of the key, such as `timing.beat_millis`.
     pub key: String,
-    /// What should stand there.
+    /// Description of the valid values.
     pub expected: String,
-    /// What stands there.
+    /// Excerpt of what the file has there.
     pub found: String,
 }
 
-/// All mistakes of a file.
+/// All errors of a file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{}", self.lines())]
 pub struct Error {
     /// File name.
     pub file: String,
-    /// Its mistakes, by line.
-    pub mistakes: Vec<Mistake>,
+    /// Its errors, in order of line.
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Error {
     fn lines(&self) -> String {
-        let lines: Vec<_> = self.mistakes.iter().map(|it| format!("{}: {it}", self.file)).collect();
+        let lines: Vec<_> = self
+            .diagnostics
+            .iter()
+            .map(|diagnostic| format!("{}: {diagnostic}", self.file))
+            .collect();
         lines.join("\n")
     }
 }
 
-/// A settings file as read.
+/// A settings file, not yet parsed.
 #[derive(Clone, Copy, Debug)]
 pub struct Raw<'a> {
-    /// File name, for messages.
+    /// File name, for error messages.
     pub file: &'a str,
-    /// Its text.
+    /// Contents.
     pub text: &'a str,
 }
 
 /// Addresses that a node listens on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// Callers.
+    /// Callers' requests.
     pub callers: SocketAddr,
     /// Requests forwarded by other nodes.
     pub forward: SocketAddr,
     /// Control messages of other nodes.
     pub control: SocketAddr,
-    /// Operators.
+    /// Operators' requests.
     pub operator: SocketAddr,
 }
 
-/// Limits towards callers.
+/// Limits on callers and on responses to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Most bytes of a request's header.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Most bytes of a request's body.
     pub body_bytes: usize,
-    /// Connections at once.
+    /// Most concurrent connections.
     pub connections: usize,
-    /// Time for a request's head or body to arrive, in milliseconds.
+    /// Time within which a request's header, and then its body, must arrive, in milliseconds.
     pub read_millis: u64,
-    /// Bytes of a service's answer.
+    /// Most bytes of a service's response.
     pub answer_bytes: usize,
 }
 
-/// Latency targets of a class, in milliseconds.
+/// Latency targets of a latency class, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Time to first output.
+    /// Time to the first token.
     pub first_millis: u64,
-    /// Time for a plain service to answer.
+    /// Response time of a plain service.
     pub service_millis: u64,
 }
 
-/// How work is placed.
+/// How requests are placed on runners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// How candidates are chosen.
+    /// Load balancing algorithm.
     pub mode: Mode,
-    /// Whether owners grant slots.
+    /// Whether a request needs a slot granted by the runner's owner.
     pub reserve: bool,
-    /// Whether slots are granted ahead of predicted releases.
+    /// Whether a slot may be granted before its predicted release.
     pub ahead: bool,
-    /// Prompts up to this many tokens are prefilled where they decode.
+    /// Longest prompt that the decode engine prefills itself, in tokens.
     pub local_prefill_tokens: u64,
     /// Assumed prefill rate, in tokens per second.
     pub prefill_rate: u64,
     /// Assumed rate of a decode engine's link, in tokens of KV cache per second.
     pub link_rate: u64,
-    /// Assumed time of one output token, in milliseconds.
+    /// Assumed decode time of one output token, in milliseconds.
     pub token_millis: u64,
-    /// Retries as a percentage of fresh requests.
+    /// Retry budget, as a percentage of first attempts.
     pub retry_percent: u32,
 }
 
-/// Periods, in milliseconds.
+/// Intervals and time limits, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between heartbeats.
+    /// Interval between heartbeats.
     pub beat_millis: u64,
-    /// Silence after which a node is suspected.
+    /// Time without a heartbeat after which a node is suspected.
     pub suspect_millis: u64,
-    /// Between looks at an owned engine's list.
+    /// Interval between reconciliations with the attempts that an owned engine lists.
     pub reconcile_millis: u64,
-    /// Between appends of claims.
+    /// Interval between appends of claims to the log.
     pub claim_millis: u64,
-    /// Between a leave announcement and the refusal of new requests.
+    /// Time after its leave announcement for which a node still accepts new requests.
     pub drain_millis: u64,
-    /// Wait for one answer of the platform.
+    /// Time limit of a request to the platform.
     pub platform_millis: u64,
-    /// Log records between two checkpoints; not a time, but kept with them.
+    /// Log records between two checkpoints: a number, grouped with the intervals.
     pub checkpoint_records: u64,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// VM this node runs on.
@@ -138,35 +142,35 @@
     pub domain: String,
     /// Addresses it listens on.
     pub listen: Listen,
-    /// Key that operators show.
+    /// Key that operators authenticate with.
     pub operator_key: String,
-    /// Platform's log.
+    /// Address of the platform's log service.
     pub log: SocketAddr,
-    /// Platform's VM list.
+    /// Address of the platform's VM list.
     pub vms: SocketAddr,
-    /// Control addresses to ask when starting with the log out.
+    /// Control addresses of nodes to start from while the log is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Where metrics go.
+    /// StatsD address that metrics are sent to.
     pub statsd: Option<SocketAddr>,
-    /// Whether logs are JSON.
+    /// Whether the log format is JSON.
     pub json_logs: bool,
-    /// Threads that do the work.
+    /// Worker threads.
     pub workers: usize,
-    /// Nodes that heartbeats go to.
+    /// Number of nodes that heartbeats are sent to.
     pub neighbours: usize,
-    /// Limits towards callers.
+    /// Limits on callers and on responses to them.
     pub limits: Limits,
-    /// Targets of quick requests.
+    /// Latency targets of quick (interactive) requests.
     pub quick: Target,
-    /// Targets of patient requests.
+    /// Latency targets of patient (batch) requests.
     pub patient: Target,
-    /// How work is placed.
+    /// How requests are placed on runners.
     pub placement: Placement,
-    /// Bounds of the ledger.
+    /// Limits of the idempotency records.
     pub ledger: ledger::Limits,
-    /// Periods.
+    /// Intervals and time limits.
     pub timing: Timing,
-    /// Engines and services.
+    /// Engines and plain services.
     pub runners: Vec<Runner>,
 }
 
@@ -182,58 +186,66 @@
 
 const LOG_FORMATS: [(&str, bool); 2] = [("text", false), ("json", true)];
 
-/// An hour, in milliseconds.
-const HOUR: u64 = 3_600_000;
+/// Milliseconds of an hour.
+const HOUR_MS: u64 = 3_600_000;
 
 impl TryFrom<Raw<'_>> for Settings {
     type Error = Error;
 
     fn try_from(raw: Raw<'_>) -> Result<Self, Error> {
         let parsed = parse_to_ast(raw.text, &CollectOptions::default(), &ParseOptions::default());
-        let report = Report { text: raw.text, mistakes: RefCell::default() };
+        let diagnostics = Diagnostics { source: raw.text, list: RefCell::default() };
         let settings = match &parsed {
-            Ok(result) => result.value.as_ref().map(|value| root(&report, value)),
+            Ok(result) => result.value.as_ref().map(|value| read_settings(&diagnostics, value)),
             Err(error) => {
                 let found = error.kind().to_string();
-                report.add(error.range().start, "file".to_owned(), "JSON with comments", found);
+                diagnostics.add(
+                    error.range().start,
+                    "file".to_owned(),
+                    "JSON with comments",
+                    found,
+                );
                 None
             }
         };
-        if settings.is_none() && report.mistakes.borrow().is_empty() {
-            report.add(0, "file".to_owned(), "an object", "nothing".to_owned());
+        if settings.is_none() && diagnostics.list.borrow().is_empty() {
+            diagnostics.add(0, "file".to_owned(), "an object", "nothing".to_owned());
         }
-        let mut mistakes = report.mistakes.into_inner();
-        mistakes.sort_by(|a, b| (a.line, &a.key).cmp(&(b.line, &b.key)));
+        let mut list = diagnostics.list.into_inner();
+        list.sort_by(|a, b| (a.line, &a.key).cmp(&(b.line, &b.key)));
         match settings {
-            Some(settings) if mistakes.is_empty() => Ok(settings),
-            _ => Err(Error { file: raw.file.to_owned(), mistakes }),
+            Some(settings) if list.is_empty() => Ok(settings),
+            _ => Err(Error { file: raw.file.to_owned(), diagnostics: list }),
         }
     }
 }
 
-fn root<'a>(report: &'a Report<'a>, value: &'a jsonc_parser::ast::Value<'a>) -> Settings {
-    let top = Section::new(report, value, String::new());
+fn read_settings<'a>(
+    diagnostics: &'a Diagnostics<'a>,
+    value: &'a jsonc_parser::ast::Value<'a>,
+) -> Settings {
+    let root = Section::new(diagnostics, value, String::new());
     let settings = Settings {
-        vm: top.text("vm"),
-        domain: top.text("domain"),
-        listen: listen(top.section("listen")),
-        operator_key: top.text("operator_key"),
-        log: top.address("log"),
-        vms: top.address("vms"),
-        seeds: top.addresses("seeds"),
-        statsd: top.optional_address("statsd"),
-        json_logs: top.choice("log_format", &LOG_FORMATS, Some(false)),
-        workers: top.number("workers", 1..=256, 2) as usize,
-        neighbours: top.number("neighbours", 1..=64, 8) as usize,
-        limits: limits(top.section("limits")),
-        quick: target(top.section("quick"), 490),
-        patient: target(top.section("patient"), 10_000),
-        placement: placement(top.section("placement")),
-        ledger: ledger(top.section("ledger")),
-        timing: timing(top.section("timing")),
-        runners: runners(report, top.list("runners")),
+        vm: root.text("vm"),
+        domain: root.text("domain"),
+        listen: listen(root.section("listen")),
+        operator_key: root.text("operator_key"),
+        log: root.address("log"),
+        vms: root.address("vms"),
+        seeds: root.addresses("seeds"),
+        statsd: root.optional_address("statsd"),
+        json_logs: root.choice("log_format", &LOG_FORMATS, Some(false)),
+        workers: root.number("workers", 1..=256, 2) as usize,
+        neighbours: root.number("neighbours", 1..=64, 8) as usize,
+        limits: limits(root.section("limits")),
+        quick: target(root.section("quick"), 490),
+        patient: target(root.section("patient"), 10_000),
+        placement: placement(root.section("placement")),
+        ledger: ledger(root.section("ledger")),
+        timing: timing(root.section("timing")),
+        runners: runners(diagnostics, root.list("runners")),
     };
-    top.close();
+    root.reject_unknown_keys();
     settings
 }
 
@@ -244,7 +256,7 @@
         control: section.address("control"),
         operator: section.address("operator"),
     };
-    section.close();
+    section.reject_unknown_keys();
     listen
 }
 
@@ -253,19 +265,19 @@
         header_bytes: section.number("header_bytes", 8_192..=1 << 20, 16_384) as usize,
         body_bytes: section.number("body_bytes", 1_024..=1 << 28, 1 << 20) as usize,
         connections: section.number("connections", 1..=1_000_000, 10_000) as usize,
-        read_millis: section.number("read_millis", 10..=HOUR, 10_000),
+        read_millis: section.number("read_millis", 10..=HOUR_MS, 10_000),
         answer_bytes: section.number("answer_bytes", 1_024..=1 << 28, 1 << 20) as usize,
     };
-    section.close();
+    section.reject_unknown_keys();
     limits
 }
 
-fn target(section: Section<'_>, first: u64) -> Target {
+fn target(section: Section<'_>, default_first_millis: u64) -> Target {
     let target = Target {
-        first_millis: section.number("first_millis", 1..=HOUR, first),
-        service_millis: section.number("service_millis", 1..=HOUR, 10_000),
+        first_millis: section.number("first_millis", 1..=HOUR_MS, default_first_millis),
+        service_millis: section.number("service_millis", 1..=HOUR_MS, 10_000),
     };
-    section.close();
+    section.reject_unknown_keys();
     target
 }
 
@@ -280,7 +292,7 @@
         token_millis: section.number("token_millis", 1..=10_000, 10),
         retry_percent: section.number("retry_percent", 0..=100, 10) as u32,
     };
-    section.close();
+    section.reject_unknown_keys();
     placement
 }
 
@@ -288,11 +300,11 @@
     let limits = ledger::Limits {
         answers: section.number("answers", 1..=10_000_000, 20_000) as usize,
         bytes: section.number("bytes", 1_024..=1 << 34, 64 << 20) as usize,
-        answer_millis: section.number("answer_millis", 1..=24 * HOUR, 600_000),
+        answer_millis: section.number("answer_millis", 1..=24 * HOUR_MS, 600_000),
         tombstones: section.number("tombstones", 1..=100_000_000, 100_000) as usize,
-        window_millis: section.number("window_millis", 1..=48 * HOUR, 24 * HOUR),
+        window_millis: section.number("window_millis", 1..=48 * HOUR_MS, 24 * HOUR_MS),
     };
-    section.close();
+    section.reject_unknown_keys();
     limits
 }
 
@@ -306,17 +318,17 @@
         platform_millis: section.number("platform_millis", 10..=60_000, 1_000),
         checkpoint_records: section.number("checkpoint_records", 10..=1_000_000, 500),
     };
-    section.close();
+    section.reject_unknown_keys();
     timing
 }
 
-fn runners<'a>(report: &'a Report<'a>, sections: Vec<Section<'a>>) -> Vec<Runner> {
+fn runners<'a>(diagnostics: &'a Diagnostics<'a>, sections: Vec<Section<'a>>) -> Vec<Runner> {
     let mut names = BTreeSet::new();
     let runners: Vec<_> = sections.into_iter().map(runner).collect();
     for runner in &runners {
         if !runner.name.is_empty() && !names.insert(runner.name.clone()) {
-            let at = report.text.rfind(&format!("\"{}\"", runner.name)).unwrap_or(0);
-            report.add(at, "runners.name".into(), "a name used once", runner.name.clone());
+            let offset = diagnostics.source.rfind(&format!("\"{}\"", runner.name)).unwrap_or(0);
+            diagnostics.add(offset, "runners.name".into(), "a unique name", runner.name.clone());
         }
     }
     runners
@@ -336,6 +348,6 @@
         kv_tokens: section.number("kv_tokens", 0..=1 << 40, 0),
         fences: section.flag("fences", false),
     };
-    section.close();
+    section.reject_unknown_keys();
     runner
 }
--- a/crates/protocol/tests/envelope.rs
+++ b/crates/protocol/tests/envelope.rs
@@ -1,4 +1,4 @@
-//! Log records as written: torn ones are skipped, newer ones stop the reader.
+//! Stored log records: what is encoded can be decoded; malformed records and newer formats are told apart.
 
 use crosslane_coordination::fold::State;
 use crosslane_coordination::record::{Leave, Record};
@@ -10,18 +10,18 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-fn read(text: &str) -> Result<Record, Error> {
+fn decode(text: &str) -> Result<Record, Error> {
     Record::try_from(Raw(text))
 }
 
 #[rstest]
-fn what_is_written_is_read() {
+fn record_round_trips() {
     let record = Record::Back { vm: "decode-0".to_owned() };
-    assert_eq!(read(&write(&record)), Ok(record));
+    assert_eq!(decode(&write(&record)), Ok(record));
 }
 
 #[rstest]
-fn a_checkpoint_is_read_as_it_was_written() {
+fn checkpoint_round_trips() {
     let address = ([127, 0, 0, 1], 9).into();
     let member = Member {
         incarnation: Incarnation(1 << 60),
@@ -44,7 +44,7 @@
         state.fold(offset as u64, Some(record)).unwrap();
     }
     let checkpoint = Record::Checkpoint { state: Box::new(state) };
-    assert_eq!(read(&write(&checkpoint)), Ok(checkpoint));
+    assert_eq!(decode(&write(&checkpoint)), Ok(checkpoint));
 }
 
 #[rstest]
@@ -53,17 +53,17 @@
 #[case("{\"format\":1}")]
 #[case("{\"format\":1,\"record\":{\"type\":\"unheard_of\"}}")]
 #[case("{\"format\":1,\"record\":{\"type\":\"back\"}}")]
-fn torn(#[case] text: &str) {
-    assert!(matches!(read(text), Err(Error::Torn { .. })), "{text}");
+fn malformed_record_is_rejected(#[case] text: &str) {
+    assert!(matches!(decode(text), Err(Error::Torn { .. })), "{text}");
 }
 
 #[rstest]
-fn newer() {
+fn newer_format_is_rejected() {
     let text = "{\"format\":2,\"record\":{\"type\":\"back\",\"vm\":\"v\"}}";
-    assert_eq!(read(text), Err(Error::Newer { format: 2 }));
+    assert_eq!(decode(text), Err(Error::Newer { format: 2 }));
 }
 
-/// The same histories in every run.
+/// Proptest settings with a fixed seed, so that every run tests the same cases.
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -72,14 +72,14 @@
     #![proptest_config(config(5_000))]
 
     #[test]
-    fn any_text_and_any_torn_record_is_refused_or_read(
+    fn only_complete_records_are_decoded(
         text in ".{0,200}",
-        keep in 0..200usize,
+        kept_chars in 0..200usize,
     ) {
         let whole = write(&Record::Withdraw { publication: text.clone() });
-        let torn: String = whole.chars().take(keep).collect();
-        for text in [text, torn] {
-            prop_assert!(read(&text).is_ok() == (text == whole));
+        let truncated: String = whole.chars().take(kept_chars).collect();
+        for text in [text, truncated] {
+            prop_assert!(decode(&text).is_ok() == (text == whole));
         }
     }
 }
--- a/crates/protocol/tests/settings.rs
+++ b/crates/protocol/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings: every mistake is told at once, with its line, key, what was expected and found.
+//! Settings: all errors of a file are reported together, each with its line, key, expected value and value found.
 
 use crosslane_protocol::settings::{Raw, Settings};
 use rstest::rstest;
 
-const RIGHT: &str = r#"// One node.
+const VALID: &str = r#"// One node.
 {
   "vm": "entry-1",
   "domain": "Aarau",
@@ -20,49 +20,49 @@
 }
 "#;
 
-fn check(text: &str) -> Result<Settings, String> {
+fn parse(text: &str) -> Result<Settings, String> {
     Settings::try_from(Raw { file: "node.json", text }).map_err(|error| error.to_string())
 }
 
 #[rstest]
-fn the_rest_has_defaults() {
-    let settings = check(RIGHT).unwrap();
+fn missing_keys_have_defaults() {
+    let settings = parse(VALID).unwrap();
     assert_eq!(settings.runners.len(), 1);
-    assert_eq!(settings.runners[0].vm, "p", "a runner is its own VM unless said otherwise");
+    assert_eq!(settings.runners[0].vm, "p", "a runner's VM is named like the runner by default");
     assert_eq!(settings.quick.first_millis, 490);
 }
 
 struct Case {
     from: &'static str,
     to: &'static str,
-    told: &'static [&'static str],
+    messages: &'static [&'static str],
 }
 
 #[rstest]
 #[case(Case {
     from: "\"vm\": \"entry-1\",",
     to: "",
-    told: &["node.json: line 2: vm: expected a string that is not empty, found nothing"],
+    messages: &["node.json: line 2: vm: expected a non-empty string, found nothing"],
 })]
 #[case(Case {
     from: "127.0.0.1:5",
     to: "log.example:5",
-    told: &["line 10: log: expected a string IP:PORT, found \"log.example:5\""],
+    messages: &["line 10: log: expected a string IP:PORT, found \"log.example:5\""],
 })]
 #[case(Case {
     from: "\"domain\": \"Aarau\",\n",
     to: "\"domain\": \"Aarau\", \"neighbors\": 3,\n",
-    told: &["line 4: neighbors: expected one of the keys", "found another key"],
+    messages: &["line 4: neighbors: expected one of the keys", "found an unknown key"],
 })]
 #[case(Case {
     from: "\"prefill\"",
     to: "\"encode\"",
-    told: &["runners[0].role: expected one of prefill, decode, service, found \"encode\""],
+    messages: &["runners[0].role: expected one of prefill, decode, service, found \"encode\""],
 })]
 #[case(Case {
     from: "\"operator_key\": \"key\",",
     to: "\"operator_key\": \"key\", \"neighbours\": 1000, \"timing\": { \"beat_millis\": \"x\" },",
-    told: &[
+    messages: &[
         "neighbours: expected a whole number from 1 to 64, found 1000",
         "timing.beat_millis: expected a whole number from 10 to 60000, found \"x\"",
     ],
@@ -71,18 +71,18 @@
     from: "    { \"name\": \"p\"",
     to: "    { \"name\": \"p\", \"domain\": \"Olten\", \"address\": \"127.0.0.1:8\", \
          \"role\": \"decode\", \"serves\": \"m\" },\n    { \"name\": \"p\"",
-    told: &["runners.name: expected a name used once, found p"],
+    messages: &["runners.name: expected a unique name, found p"],
 })]
 #[case(Case {
     from: "\"runners\": [",
     to: "\"runners\": [[",
-    told: &["file: expected JSON with comments, found"],
+    messages: &["file: expected JSON with comments, found"],
 })]
-fn mistakes(#[case] case: Case) {
-    let text = RIGHT.replacen(case.from, case.to, 1);
-    assert_ne!(text, RIGHT);
-    let error = check(&text).unwrap_err();
-    for told in case.told {
-        assert!(error.contains(told), "{told:?} is not in {error:?}");
+fn errors_are_reported(#[case] case: Case) {
+    let text = VALID.replacen(case.from, case.to, 1);
+    assert_ne!(text, VALID);
+    let error = parse(&text).unwrap_err();
+    for message in case.messages {
+        assert!(error.contains(message), "{message:?} is not in {error:?}");
     }
 }
