--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -184,13 +184,13 @@
 }
 
 impl<'a> Choice<'a> {
-    fn new(form: Form, text: &'a str, kind: Kind) -> Self {
+    fn new(api: Form, text: &'a str, kind: Kind) -> Self {
         let message = |present: bool| {
-            (form == Form::Chat && present).then_some(Message { role: "assistant", content: text })
+            (api == Form::Chat && present).then_some(Message { role: "assistant", content: text })
         };
         Self {
             index: 0,
-            text: (form == Form::Text).then_some(text),
+            text: (api == Form::Text).then_some(text),
             delta: message(kind != Kind::Full),
             message: message(kind == Kind::Full),
             finish_reason: (kind != Kind::Chunk).then_some("stop"),
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -52,7 +52,7 @@
 #[tarpc::service]
 pub trait Peer {
     /// Takes the caller's heartbeat and returns the callee's.
-    async fn beat(beat: Beat) -> Beat;
+    async fn beat(heartbeat: Beat) -> Beat;
     /// Reserves a slot of a runner that the callee owns.
     async fn reserve(runner: runner::Id, ask: Ask) -> Grant;
     /// Frees a slot of a runner that the callee owns.
@@ -60,15 +60,15 @@
     /// For each of the callee's attempts, whether it is still in use.
     async fn wanted(attempts: Vec<attempt::Id>) -> Vec<bool>;
     /// Releases a key to the caller unless the callee has a record of it; true if it is released.
-    async fn inquire(key: Key, by: Incarnation) -> bool;
+    async fn inquire(key: Key, new_owner: Incarnation) -> bool;
     /// Indirect probe: whether the callee can reach a node that the caller suspects.
     async fn hears(node: Incarnation) -> bool;
     /// Stores copies of the caller's claims while the log is unavailable; false if one is rejected.
-    async fn copy_claims(by: Incarnation, keys: Vec<u64>) -> bool;
+    async fn copy_claims(claimer: Incarnation, key_hashes: Vec<u64>) -> bool;
     /// Returns the copies that the callee holds of a departed node's claims.
-    async fn copied_claims(by: Incarnation) -> Vec<u64>;
+    async fn copied_claims(claimer: Incarnation) -> Vec<u64>;
     /// Hands over idempotency records.
-    async fn handover(endings: Vec<Ending>);
+    async fn handover(records: Vec<Ending>);
     /// Returns the callee's state, for a node that starts while the log is unavailable.
     async fn snapshot() -> Snapshot;
     /// Number of requests in progress at the callee that use a VM. For the callee's own VM, this is all its
--- a/crates/state/src/attempt.rs
+++ b/crates/state/src/attempt.rs
@@ -14,7 +14,7 @@
     pub origin: Incarnation,
     /// Number of the request, counted by that node.
     pub sequence: u64,
-    /// Number of the attempt, zero for the first.
+    /// Number of retries before it, zero for the first attempt.
     pub round: u16,
 }
 
@@ -24,8 +24,8 @@
         let mut parts = text.split('-');
         let origin = Incarnation::parse(parts.next()?)?;
         let sequence = u64::from_str_radix(parts.next()?, 16).ok()?;
-        let round = u16::from_str_radix(parts.next()?, 16).ok()?;
-        parts.next().is_none().then_some(Self { origin, sequence, round })
+        let retry_number = u16::from_str_radix(parts.next()?, 16).ok()?;
+        parts.next().is_none().then_some(Self { origin, sequence, round: retry_number })
     }
 
     /// The next attempt of the same request.
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -39,43 +39,43 @@
 /// Load estimates of all runners for which this node has reports.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
-    entries: HashMap<Id, Entry>,
+    estimates: HashMap<Id, Entry>,
 }
 
 impl Board {
     /// Estimate for a runner, empty without a report.
     pub fn get(&self, id: Id) -> Entry {
-        self.entries.get(&id).copied().unwrap_or_default()
+        self.estimates.get(&id).copied().unwrap_or_default()
     }
 
-    /// Replaces the latest report; requests sent before it are part of it.
+    /// Replaces the latest report and restarts the count of requests sent since.
     pub fn report(&mut self, id: Id, report: Report, now: Millis) {
-        let entry = self.entries.entry(id).or_default();
-        entry.report = report;
-        entry.at = now;
-        entry.sent = 0;
+        let estimate = self.estimates.entry(id).or_default();
+        estimate.report = report;
+        estimate.at = now;
+        estimate.sent = 0;
     }
 
     /// Updates the expected wait, which an owner returns with each grant.
     pub fn told(&mut self, id: Id, wait_millis: u32) {
-        let entry = self.entries.entry(id).or_default();
-        entry.report.wait_millis = wait_millis;
-        entry.sent = 0;
+        let estimate = self.estimates.entry(id).or_default();
+        estimate.report.wait_millis = wait_millis;
+        estimate.sent = 0;
     }
 
     /// Counts a request sent to a runner.
     pub fn sent(&mut self, id: Id) {
-        self.entries.entry(id).or_default().sent += 1;
+        self.estimates.entry(id).or_default().sent += 1;
     }
 
     /// Uncounts a request that the runner did not keep.
     pub fn unsent(&mut self, id: Id) {
-        let entry = self.entries.entry(id).or_default();
-        entry.sent = entry.sent.saturating_sub(1);
+        let estimate = self.estimates.entry(id).or_default();
+        estimate.sent = estimate.sent.saturating_sub(1);
     }
 
     /// Sends no requests to a failed runner before a time.
     pub fn shun(&mut self, id: Id, until: Millis) {
-        self.entries.entry(id).or_default().shunned_until = until;
+        self.estimates.entry(id).or_default().shunned_until = until;
     }
 }
--- a/crates/state/src/organisation.rs
+++ b/crates/state/src/organisation.rs
@@ -28,7 +28,7 @@
     pub fn cost(self, tokens: Option<u32>) -> u32 {
         match self {
             Self::Requests => 1,
-            Self::Tokens { plain } => tokens.unwrap_or(plain),
+            Self::Tokens { plain: default } => tokens.unwrap_or(default),
         }
     }
 }
