--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -22,7 +22,7 @@
     for place in 0..size {
         let name = format!("decode-{place}");
         let id = Id::of(&name);
-        board.report(id, Report { busy: place as u32 % 20, ..Report::default() }, Millis(0));
+        board.record_report(id, Report { busy: place as u32 % 20, ..Report::default() }, Millis(0));
         table.insert(Runner {
             id,
             vm: name.clone(),
@@ -115,7 +115,7 @@
             board.sent(id);
         }
     }
-    let depths = || table.iter().map(|it| board.get(it.id).depth());
+    let depths = || table.iter().map(|it| board.estimate(it.id).outstanding());
     let spread = depths().max().unwrap_or(0) - depths().min().unwrap_or(0);
     println!("spread of {mode:?} over {SIZE} runners: {spread}");
     spread
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -84,8 +84,8 @@
         if self.by_other(key, at) {
             return Some(Doubt::Claimed);
         }
-        let weight = hash::weight(key, at.0);
-        let owned = |it: &&Departed| hash::weight(key, it.incarnation.0) > weight;
+        let weight = hash::rendezvous_weight(key, at.0);
+        let owned = |it: &&Departed| hash::rendezvous_weight(key, it.incarnation.0) > weight;
         let mut unsettled = self.departed.iter().filter(|it| !it.settled);
         unsettled.find(owned).map(|_| Doubt::Unsettled)
     }
--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -27,6 +27,8 @@
     match credential {
         Credential::Absent if route.open => Ok(None),
         Credential::Absent | Credential::Malformed => Err(Denial::NoKey),
-        Credential::Key(digest) => organisations.of(digest).map(Some).ok_or(Denial::UnknownKey),
+        Credential::Key(digest) => {
+            organisations.by_key_digest(digest).map(Some).ok_or(Denial::UnknownKey)
+        }
     }
 }
--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -122,7 +122,7 @@
         if node.ledger.knows(&self.key) {
             return self.begin(node, now);
         }
-        if self.key.minted_by().is_some() {
+        if self.key.generated_by().is_some() {
             return Step::Refuse(Refusal::Unknown);
         }
         self.since = node.ledger.releases();
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -123,7 +123,7 @@
         entry.at = now;
         match end {
             End::Done(answer) => {
-                self.bytes += answer.bytes();
+                self.bytes += answer.size_bytes();
                 entry.phase = Phase::Recorded(answer);
                 self.recorded.push_back((now, key.clone()));
                 self.trim(now);
@@ -228,7 +228,7 @@
             return;
         };
         if let Phase::Recorded(answer) = &entry.phase {
-            self.bytes -= answer.bytes();
+            self.bytes -= answer.size_bytes();
         }
         if full && entry.repeatable {
             self.entries.remove(key);
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -199,12 +199,12 @@
         0.0 => PROBES,
         rate => rate.max(LEAST),
     };
-    Limit { rate, burst: rate * BURST_S }
+    Limit { units_per_second: rate, burst: rate * BURST_S }
 }
 
 /// What a node may grant in the place of a limit's first owner.
 pub fn deputy(limit: Limit) -> Limit {
-    Limit { rate: limit.rate * DEPUTY, burst: limit.burst * DEPUTY }
+    Limit { units_per_second: limit.units_per_second * DEPUTY, burst: limit.burst * DEPUTY }
 }
 
 /// Requests that were refused under each limit and may come again.
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -303,7 +303,7 @@
                 && (domains.is_empty() || domains.contains(&runner.domain))
         };
         let known = |runner: &Runner| {
-            role == Role::Service || now.since(board.get(runner.id).at) < KNOWN_MILLIS
+            role == Role::Service || now.since(board.estimate(runner.id).reported_at) < KNOWN_MILLIS
         };
         let chosen = self
             .chooser
@@ -316,7 +316,7 @@
 
     /// Keeps requests away from a runner that failed.
     pub fn failed(&mut self, runner: Id, now: Millis) {
-        self.board.shun(runner, now + SHUN_MILLIS);
+        self.board.avoid(runner, now + SHUN_MILLIS);
     }
 
     /// Asks for a slot of an owned runner; `None` means that the answer comes later.
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -58,7 +58,7 @@
     /// A runner of the pool that passes a check, if there is one.
     pub fn choose(&mut self, query: Query<'_>, eligible: impl Fn(&Runner) -> bool) -> Option<Id> {
         let usable = |runner: &Runner| {
-            eligible(runner) && query.board.get(runner.id).shunned_until <= query.now
+            eligible(runner) && query.board.estimate(runner.id).avoid_until <= query.now
         };
         match self.mode {
             Mode::BestOfTwo => {
@@ -76,7 +76,7 @@
                 .iter()
                 .filter_map(|key| query.table.get(*key))
                 .filter(|runner| usable(runner))
-                .min_by_key(|runner| reported(query.board.get(runner.id)))
+                .min_by_key(|runner| reported(query.board.estimate(runner.id)))
                 .map(|it| it.id),
         }
     }
@@ -113,11 +113,11 @@
 /// The runner with less expected wait: what its owner told, and what was sent there since.
 fn lighter(query: Query<'_>, first: &Runner, second: &Runner) -> Id {
     let cost = |runner: &Runner| {
-        let entry = query.board.get(runner.id);
+        let entry = query.board.estimate(runner.id);
         let slots = runner.slots.max(1);
-        let sent = u64::from(entry.sent) * query.work / u64::from(slots);
+        let sent = u64::from(entry.sent_since_report) * query.work / u64::from(slots);
         let wait = u64::from(entry.report.wait_millis) + sent;
-        (wait, entry.depth() * COST_SCALE / slots)
+        (wait, entry.outstanding() * COST_SCALE / slots)
     };
     if cost(second) < cost(first) { second.id } else { first.id }
 }
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -1,6 +1,6 @@
 //! Policy programs: short Rhai scripts, compiled once, without loops and bounded in steps.
 
-use crosslane_state::request::{Class, Verdict};
+use crosslane_state::request::{Class, Decision};
 use derive_more::{Display, Error};
 use rhai::{AST, Dynamic, Engine, Map, Scope};
 
@@ -124,7 +124,7 @@
     }
 
     /// Judges a request.
-    pub fn judge(&self, input: &Input) -> Result<Verdict, Error> {
+    pub fn judge(&self, input: &Input) -> Result<Decision, Error> {
         let mut scope = Scope::new();
         scope.push_constant("organisation", input.organisation.clone());
         scope.push_constant("model", input.model.clone());
@@ -140,7 +140,7 @@
     }
 }
 
-fn verdict(result: Dynamic) -> Result<Verdict, Error> {
+fn verdict(result: Dynamic) -> Result<Decision, Error> {
     let found = result.type_name();
     let Some(map) = result.try_cast::<Map>() else {
         return Err(Error::Result {
@@ -149,7 +149,7 @@
             found: found.to_owned(),
         });
     };
-    Ok(Verdict {
+    Ok(Decision {
         class: class(map.get("class"))?,
         repeatable: repeatable(map.get("repeatable"))?,
         domains: domains(map.get("domains"))?,
--- a/crates/coordination/src/quota.rs
+++ b/crates/coordination/src/quota.rs
@@ -99,7 +99,7 @@
     }
 
     fn earned(&self, limit: Limit) -> f64 {
-        limit.rate * self.window as f64 / 1_000.0
+        limit.units_per_second * self.window as f64 / 1_000.0
     }
 }
 
@@ -180,7 +180,7 @@
     fn take(&mut self, ask: Ask, share: f64, needed: f64, now: Millis) -> Verdict {
         let Ask { subject, limit, cost, draw } = ask;
         let cost = f64::from(cost);
-        let rate = limit.rate * share;
+        let rate = limit.units_per_second * share;
         let spare = self.bound.spare(limit) * share;
         let overdraft = spare * OVERDRAFT;
         // A share of the burst may be less than the request; it may then be saved up within a window.
@@ -220,7 +220,7 @@
 /// Nodes by their weight for a limit, the highest first.
 pub fn ranked<T: Ord>(subject: Tag, nodes: impl Iterator<Item = (Tag, T)>) -> Vec<T> {
     let mut ranked: Vec<_> =
-        nodes.map(|(tag, node)| (hash::weight(subject.0, tag.0), node)).collect();
+        nodes.map(|(tag, node)| (hash::rendezvous_weight(subject.0, tag.0), node)).collect();
     ranked.sort_unstable_by(|one, other| other.cmp(one));
     ranked.into_iter().map(|(_, node)| node).collect()
 }
--- a/crates/coordination/tests/detector.rs
+++ b/crates/coordination/tests/detector.rs
@@ -36,7 +36,7 @@
 
 #[rstest]
 fn only_what_belongs_to_the_dead_is_cancelled_unasked() {
-    let of = |origin| Id { origin: Incarnation(origin), sequence: 1, round: 0 };
+    let of = |origin| Id { origin: Incarnation(origin), sequence: 1, retry_number: 0 };
     let belief = |origin: Incarnation| match origin.0 {
         1 => Belief::Alive,
         2 => Belief::Suspect,
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -196,7 +196,7 @@
                 let answer = Answer {
                     status: 200,
                     content_type: "text/plain".to_owned(),
-                    pieces: vec![b"done".to_vec()],
+                    chunks: vec![b"done".to_vec()],
                 };
                 let lost = luck == Luck::Lost;
                 let end = if lost { End::Unknown } else { End::Done(Arc::new(answer)) };
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -19,7 +19,7 @@
 
 fn answer(bytes: usize) -> Arc<Answer> {
     let content_type = "text/plain".to_owned();
-    Arc::new(Answer { status: 200, content_type, pieces: vec![vec![b'x'; bytes]] })
+    Arc::new(Answer { status: 200, content_type, chunks: vec![vec![b'x'; bytes]] })
 }
 
 fn done(ledger: &mut Ledger, number: u64, bytes: usize, repeatable: bool) {
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -133,7 +133,7 @@
 #[case(Used { named: 0.0, used: 0.1 })]
 fn an_endpoint_that_takes_next_to_nothing_is_asked_now_and_then(#[case] case: Used) {
     let limit = limits::limit(Rate::try_from(case.named).unwrap());
-    assert_eq!(limit.rate, case.used);
+    assert_eq!(limit.units_per_second, case.used);
 }
 
 #[rstest]
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -170,7 +170,9 @@
         match self.nodes[owner].owned.rule(ask, share, Millis(now)) {
             Verdict::Over { wait } => {
                 let queues = &mut self.nodes[owner].queues;
-                Verdict::Over { wait: queues.join(ENDPOINT, limit.rate, wait, Millis(now)) }
+                Verdict::Over {
+                    wait: queues.join(ENDPOINT, limit.units_per_second, wait, Millis(now)),
+                }
             }
             verdict => verdict,
         }
--- a/crates/coordination/tests/pool.rs
+++ b/crates/coordination/tests/pool.rs
@@ -37,7 +37,7 @@
 fn endpoint(id: &str, draining: bool) -> Endpoint {
     Endpoint {
         id: id.into(),
-        born: BORN,
+        started_unix_ms: BORN,
         service: SERVICE.into(),
         address: ([10, 0, 0, 1], 80).into(),
         domain: "aarau".into(),
@@ -289,7 +289,7 @@
     pool.enter(former, 5_000);
     pool.note(former, Outcome::Failed, Millis(0));
     pool.ordered(former, Stage::Prefill, Millis(0));
-    let again = Endpoint { born: BORN + 1, ..endpoint("a", false) };
+    let again = Endpoint { started_unix_ms: BORN + 1, ..endpoint("a", false) };
     pool.replace(vec![again, endpoint("b", false)], lenient, Millis(100));
     assert_eq!(pool.len(), 2, "the former one is gone at once");
     assert!(pool.get(former).is_none());
--- a/crates/coordination/tests/program.rs
+++ b/crates/coordination/tests/program.rs
@@ -1,7 +1,7 @@
 //! Policy programs: bounded, and wrong ones told with line and column.
 
 use crosslane_coordination::program::{DEFAULT, Error, Input, Program};
-use crosslane_state::request::{Class, Verdict};
+use crosslane_state::request::{Class, Decision};
 use rstest::rstest;
 
 fn input(method: &str, path: &str) -> Input {
@@ -11,25 +11,25 @@
 struct Case {
     program: &'static str,
     input: Input,
-    verdict: Verdict,
+    verdict: Decision,
 }
 
 #[rstest]
 #[case(Case {
     program: DEFAULT,
     input: input("POST", "/v1/completions"),
-    verdict: Verdict { class: Class::Patient, repeatable: true, domains: vec![] },
+    verdict: Decision { class: Class::Patient, repeatable: true, domains: vec![] },
 })]
 #[case(Case {
     program: DEFAULT,
     input: input("POST", "/booking/confirm"),
-    verdict: Verdict { class: Class::Quick, repeatable: false, domains: vec![] },
+    verdict: Decision { class: Class::Quick, repeatable: false, domains: vec![] },
 })]
 #[case(Case {
     program: "#{ class: if prompt_tokens > 1000 { `patient` } else { `quick` }, repeatable: true, \
               domains: if organisation == `dept` { [`Aarau`] } else { [] } }",
     input: Input { organisation: "dept".into(), prompt_tokens: 2_000, ..Input::default() },
-    verdict: Verdict { class: Class::Patient, repeatable: true, domains: vec!["Aarau".into()] },
+    verdict: Decision { class: Class::Patient, repeatable: true, domains: vec!["Aarau".into()] },
 })]
 fn verdict(#[case] case: Case) {
     assert_eq!(Program::compile(case.program).unwrap().judge(&case.input), Ok(case.verdict));
--- a/crates/coordination/tests/quota.rs
+++ b/crates/coordination/tests/quota.rs
@@ -18,8 +18,8 @@
 const BOUND: Bound = Bound { window: 8_000, overage: 0.1, slack: 190_000.0 };
 
 /// A small organisation, which uses 22,000 tokens a second, and a large one.
-const SMALL: Limit = Limit { rate: 47_000.0, burst: 47_000.0 };
-const LARGE: Limit = Limit { rate: 310_000.0, burst: 310_000.0 };
+const SMALL: Limit = Limit { units_per_second: 47_000.0, burst: 47_000.0 };
+const LARGE: Limit = Limit { units_per_second: 310_000.0, burst: 310_000.0 };
 
 /// Time until all nodes know that another one is silent, and that it is back, in milliseconds: a heartbeat's life, and
 /// the first heartbeat.
@@ -182,7 +182,7 @@
         let mut used: VecDeque<(u64, f64)> = VecDeque::new();
         let (mut sum, mut outcome) = (0.0, Outcome::default());
         let borne = BOUND.allowed(self.limit) + BOUND.spare(self.limit);
-        let usual = self.limit.rate / 1.8;
+        let usual = self.limit.units_per_second / 1.8;
         let mut owed = 0.0;
         for now in (0..LENGTH).step_by(STEP as usize) {
             for node in 0..self.nodes {
@@ -250,7 +250,7 @@
                 let rightful: f64 = outcomes.iter().map(|it| it.rightful).sum();
                 let granted: f64 = outcomes.iter().map(|it| it.granted).sum();
                 let share = (1.0 - granted / rightful).max(0.0);
-                let (trouble, hot, rate) = (case.trouble, case.hot, limit.rate);
+                let (trouble, hot, rate) = (case.trouble, case.hot, limit.units_per_second);
                 let told = format!(
                     "{way:?} {trouble:?} hot {hot} nodes {nodes} rate {rate}: most {most:.3}, refused {share:.4}"
                 );
@@ -271,7 +271,7 @@
 #[rstest]
 fn what_never_ran_is_given_back() {
     let mut quota = Quota::new(Bound { window: 8_000, ..Bound::default() });
-    let limit = Limit { rate: 100.0, burst: 100.0 };
+    let limit = Limit { units_per_second: 100.0, burst: 100.0 };
     let ask = Ask { subject: ORGANISATION, limit, cost: 100, draw: 0.0 };
     let rule = |quota: &mut Quota, now| quota.rule(ask, 1.0, Millis(now));
     assert_eq!(rule(&mut quota, 0), Verdict::Over { wait: 1_000 });
@@ -292,7 +292,7 @@
 #[rstest]
 fn what_comes_first_after_a_while_under_a_limit_is_granted() {
     let mut quota = Quota::new(Bound { window: 60_000, ..Bound::default() });
-    let limit = Limit { rate: 0.5, burst: 0.25 };
+    let limit = Limit { units_per_second: 0.5, burst: 0.25 };
     let ask = Ask { subject: ORGANISATION, limit, cost: 1, draw: 0.0 };
     quota.begin(ORGANISATION, Millis(0));
     assert_eq!(quota.rule(ask, 1.0, Millis(2_000)), Verdict::Granted);
--- a/crates/coordination/tests/slots.rs
+++ b/crates/coordination/tests/slots.rs
@@ -17,7 +17,7 @@
 }
 
 fn id(sequence: u64) -> Id {
-    Id { origin: Incarnation(1), sequence, round: 0 }
+    Id { origin: Incarnation(1), sequence, retry_number: 0 }
 }
 
 fn ask(sequence: u64) -> Ask {
--- a/crates/coordination/tests/splice.rs
+++ b/crates/coordination/tests/splice.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 
 fn attempt(round: u16) -> Id {
-    Id { origin: Incarnation(1), sequence: 1, round }
+    Id { origin: Incarnation(1), sequence: 1, retry_number: round }
 }
 
 /// The same histories in every run.
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -13,7 +13,7 @@
 fn engine(name: usize, stage: Stage) -> Endpoint {
     Endpoint {
         id: format!("e{name}"),
-        born: 1,
+        started_unix_ms: 1,
         service: SERVICE.into(),
         address: ([10, 0, 0, 1], 80).into(),
         domain: "aarau".into(),
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -111,7 +111,7 @@
     let now = START + SUSPECT_MILLIS;
     node.detector.heard(Incarnation(1), now);
     node.detector.confirm(Incarnation(3), now);
-    let of = |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, round: 0 };
+    let of = |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, retry_number: 0 };
     let held = [of(0), of(1), of(2), of(3)];
     assert_eq!(node.orphans(&held, now), [of(3)], "a live node's and a suspect's are left alone");
 }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -43,12 +43,12 @@
     fn take(&mut self, id: &str, bytes: &Bytes) -> Result<(), Error> {
         self.bytes = bytes.clone();
         match discovery::decode(id, bytes) {
-            Ok(endpoint) if endpoint.born < self.newest => {
-                let (id, born, newest) = (id.to_owned(), endpoint.born, self.newest);
+            Ok(endpoint) if endpoint.started_unix_ms < self.newest => {
+                let (id, born, newest) = (id.to_owned(), endpoint.started_unix_ms, self.newest);
                 Err(Error::Former { id, born, newest })
             }
             Ok(endpoint) => {
-                self.newest = endpoint.born;
+                self.newest = endpoint.started_unix_ms;
                 self.endpoint = Some(endpoint);
                 Ok(())
             }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -282,7 +282,7 @@
     let verdict = lock(&node.desk(subject).owned).rule(ask, share, now);
     match (subject, verdict) {
         (Subject::Endpoint(endpoint), Verdict::Over { wait }) => {
-            let wait = lock(&node.queues).join(endpoint, ask.limit.rate, wait, now);
+            let wait = lock(&node.queues).join(endpoint, ask.limit.units_per_second, wait, now);
             Verdict::Over { wait }
         }
         _ => verdict,
@@ -317,5 +317,5 @@
 /// An organisation's limit.
 fn configured(node: &Node, organisation: Tag) -> Option<Limit> {
     let table = node.table()?;
-    table.organisations.as_ref()?.named(organisation)?.limit
+    table.organisations.as_ref()?.by_tag(organisation)?.limit
 }
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -83,6 +83,6 @@
         assert!(directory.endpoints().any(|it| it.id == "other"), "{}: the other holds", case.name);
     }
     let one = directory.endpoints().find(|it| it.id == "one");
-    assert_eq!(one.map(|it| (it.born, it.draining)), case.used, "{}", case.name);
+    assert_eq!(one.map(|it| (it.started_unix_ms, it.draining)), case.used, "{}", case.name);
     assert_eq!(told, case.told, "{}", case.name);
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -59,7 +59,7 @@
 fn engines(count: usize, domains: usize) -> Vec<Endpoint> {
     let engine = |place: usize| Endpoint {
         id: format!("e{place}"),
-        born: 1,
+        started_unix_ms: 1,
         service: SERVICE.into(),
         address: ([10, 0, 0, 1], 80).into(),
         domain: domain(place, domains),
--- a/crates/state/src/answer.rs
+++ b/crates/state/src/answer.rs
@@ -10,12 +10,12 @@
     /// Value of `content-type`.
     pub content_type: String,
     /// For a model, the generated text in order, one token each; for a service, the body alone.
-    pub pieces: Vec<Vec<u8>>,
+    pub chunks: Vec<Vec<u8>>,
 }
 
 impl Answer {
     /// Total size of the body, in bytes.
-    pub fn bytes(&self) -> usize {
-        self.pieces.iter().map(Vec::len).sum()
+    pub fn size_bytes(&self) -> usize {
+        self.chunks.iter().map(Vec::len).sum()
     }
 }
--- a/crates/state/src/attempt.rs
+++ b/crates/state/src/attempt.rs
@@ -8,14 +8,14 @@
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-#[display("{origin}-{sequence:x}-{round:x}")]
+#[display("{origin}-{sequence:x}-{retry_number:x}")]
 pub struct Id {
     /// Node that runs the request and made the attempt.
     pub origin: Incarnation,
     /// Number of the request, counted by that node.
     pub sequence: u64,
     /// Number of retries before it, zero for the first attempt.
-    pub round: u16,
+    pub retry_number: u16,
 }
 
 impl Id {
@@ -25,11 +25,11 @@
         let origin = Incarnation::parse(parts.next()?)?;
         let sequence = u64::from_str_radix(parts.next()?, 16).ok()?;
         let retry_number = u16::from_str_radix(parts.next()?, 16).ok()?;
-        parts.next().is_none().then_some(Self { origin, sequence, round: retry_number })
+        parts.next().is_none().then_some(Self { origin, sequence, retry_number })
     }
 
     /// The next attempt of the same request.
     pub fn next(self) -> Self {
-        Self { round: self.round.saturating_add(1), ..self }
+        Self { retry_number: self.retry_number.saturating_add(1), ..self }
     }
 }
--- a/crates/state/src/endpoint.rs
+++ b/crates/state/src/endpoint.rs
@@ -41,7 +41,7 @@
     /// Name, which an endpoint keeps over restarts.
     pub id: String,
     /// Start of this incarnation by the endpoint's own clock, in Unix milliseconds.
-    pub born: u64,
+    pub started_unix_ms: u64,
     /// Service it belongs to.
     pub service: String,
     /// Address of its HTTP interface.
@@ -60,7 +60,7 @@
     /// Identifier of this incarnation in messages between nodes. After a restart under the same id it
     /// is another one, since the new process holds no memory or requests of the old one.
     pub fn tag(&self) -> Tag {
-        let start_bytes = self.born.to_le_bytes();
+        let start_bytes = self.started_unix_ms.to_le_bytes();
         Tag(hash::of(&[self.id.as_bytes(), &start_bytes].concat()))
     }
 }
--- a/crates/state/src/hash.rs
+++ b/crates/state/src/hash.rs
@@ -8,6 +8,6 @@
 }
 
 /// Rendezvous hashing: weight of a candidate for a key; the one with the highest weight owns the key.
-pub fn weight(key: u64, candidate: u64) -> u64 {
+pub fn rendezvous_weight(key: u64, candidate: u64) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), candidate)
 }
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -22,17 +22,17 @@
     /// Latest report.
     pub report: Report,
     /// Time at which it arrived.
-    pub at: Millis,
+    pub reported_at: Millis,
     /// Requests sent to the runner since the latest report or grant.
-    pub sent: u32,
+    pub sent_since_report: u32,
     /// The runner gets no requests before this time.
-    pub shunned_until: Millis,
+    pub avoid_until: Millis,
 }
 
 impl Entry {
     /// Estimated number of outstanding requests: in slots, queued, or sent since.
-    pub fn depth(&self) -> u32 {
-        self.report.busy + self.report.waiting + self.sent
+    pub fn outstanding(&self) -> u32 {
+        self.report.busy + self.report.waiting + self.sent_since_report
     }
 }
 
@@ -44,38 +44,38 @@
 
 impl Board {
     /// Estimate for a runner, empty without a report.
-    pub fn get(&self, id: Id) -> Entry {
+    pub fn estimate(&self, id: Id) -> Entry {
         self.estimates.get(&id).copied().unwrap_or_default()
     }
 
     /// Replaces the latest report and restarts the count of requests sent since.
-    pub fn report(&mut self, id: Id, report: Report, now: Millis) {
+    pub fn record_report(&mut self, id: Id, report: Report, now: Millis) {
         let estimate = self.estimates.entry(id).or_default();
         estimate.report = report;
-        estimate.at = now;
-        estimate.sent = 0;
+        estimate.reported_at = now;
+        estimate.sent_since_report = 0;
     }
 
     /// Updates the expected wait, which an owner returns with each grant.
-    pub fn told(&mut self, id: Id, wait_millis: u32) {
+    pub fn record_wait(&mut self, id: Id, wait_millis: u32) {
         let estimate = self.estimates.entry(id).or_default();
         estimate.report.wait_millis = wait_millis;
-        estimate.sent = 0;
+        estimate.sent_since_report = 0;
     }
 
     /// Counts a request sent to a runner.
     pub fn sent(&mut self, id: Id) {
-        self.estimates.entry(id).or_default().sent += 1;
+        self.estimates.entry(id).or_default().sent_since_report += 1;
     }
 
     /// Uncounts a request that the runner did not keep.
-    pub fn unsent(&mut self, id: Id) {
+    pub fn undo_sent(&mut self, id: Id) {
         let estimate = self.estimates.entry(id).or_default();
-        estimate.sent = estimate.sent.saturating_sub(1);
+        estimate.sent_since_report = estimate.sent_since_report.saturating_sub(1);
     }
 
     /// Sends no requests to a failed runner before a time.
-    pub fn shun(&mut self, id: Id, until: Millis) {
-        self.estimates.entry(id).or_default().shunned_until = until;
+    pub fn avoid(&mut self, id: Id, until: Millis) {
+        self.estimates.entry(id).or_default().avoid_until = until;
     }
 }
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -83,8 +83,11 @@
 
     /// Members by their rendezvous weight for a key hash, highest first.
     pub fn ranked(&self, key: u64) -> Vec<Incarnation> {
-        let mut ranked: Vec<_> =
-            self.members.keys().map(|member| (hash::weight(key, member.0), *member)).collect();
+        let mut ranked: Vec<_> = self
+            .members
+            .keys()
+            .map(|member| (hash::rendezvous_weight(key, member.0), *member))
+            .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.into_iter().map(|(_, member)| member).collect()
     }
@@ -94,14 +97,15 @@
         self.members
             .keys()
             .filter(|member| eligible(**member))
-            .max_by_key(|member| (hash::weight(key, member.0), **member))
+            .max_by_key(|member| (hash::rendezvous_weight(key, member.0), **member))
             .copied()
     }
 
     /// The `count` members that follow an incarnation on the ring of incarnation hashes.
     pub fn neighbours(&self, of: Incarnation, count: usize) -> Vec<&Member> {
-        let position =
-            |incarnation: Incarnation| (hash::weight(RING_KEY, incarnation.0), incarnation);
+        let position = |incarnation: Incarnation| {
+            (hash::rendezvous_weight(RING_KEY, incarnation.0), incarnation)
+        };
         let mut ring: Vec<_> =
             self.members.values().filter(|member| member.incarnation != of).collect();
         let start = position(of);
--- a/crates/state/src/organisation.rs
+++ b/crates/state/src/organisation.rs
@@ -19,7 +19,7 @@
     /// A request costs its prompt tokens and the most tokens that it may generate.
     Tokens {
         /// Cost of a request that states no number of tokens.
-        plain: u32,
+        default_tokens: u32,
     },
 }
 
@@ -28,7 +28,7 @@
     pub fn cost(self, tokens: Option<u32>) -> u32 {
         match self {
             Self::Requests => 1,
-            Self::Tokens { plain: default } => tokens.unwrap_or(default),
+            Self::Tokens { default_tokens: default } => tokens.unwrap_or(default),
         }
     }
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Units a second.
-    pub rate: f64,
+    pub units_per_second: f64,
     /// Units that may be used at once beyond the rate.
     pub burst: f64,
 }
@@ -92,12 +92,12 @@
     }
 
     /// The organisation with an API key, given by its digest.
-    pub fn of(&self, digest: Fingerprint) -> Option<&Organisation> {
+    pub fn by_key_digest(&self, digest: Fingerprint) -> Option<&Organisation> {
         self.keys.get(&digest).and_then(|key| self.get(*key))
     }
 
     /// The organisation with an identifier in messages between nodes.
-    pub fn named(&self, tag: Tag) -> Option<&Organisation> {
+    pub fn by_tag(&self, tag: Tag) -> Option<&Organisation> {
         self.tags.get(&tag).and_then(|key| self.get(*key))
     }
 
--- a/crates/state/src/request.rs
+++ b/crates/state/src/request.rs
@@ -48,12 +48,12 @@
 
 impl Key {
     /// Generates a key that names its owner.
-    pub fn mint(owner: Incarnation, sequence: u64) -> Self {
+    pub fn generate(owner: Incarnation, sequence: u64) -> Self {
         Self(format!("{GENERATED_PREFIX}{owner}-{sequence:x}"))
     }
 
     /// Owner named in a generated key.
-    pub fn minted_by(&self) -> Option<Incarnation> {
+    pub fn generated_by(&self) -> Option<Incarnation> {
         let (owner, _) = self.0.strip_prefix(GENERATED_PREFIX)?.split_once('-')?;
         Incarnation::parse(owner)
     }
@@ -100,7 +100,7 @@
 
 /// Decision of the policy on a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct Decision {
     /// Latency class.
     pub class: Class,
     /// Whether the request may run more than once.
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -12,7 +12,7 @@
 use crosslane_coordination::retry;
 use crosslane_protocol::refusal::{Code, Refusal};
 use crosslane_state::attempt;
-use crosslane_state::request::{Outcome, Verdict};
+use crosslane_state::request::{Decision, Outcome};
 use crosslane_state::runner::{Id, Role, Runner};
 use crosslane_state::time::Millis;
 use hyper::header::{CONTENT_TYPE, HeaderMap};
@@ -34,7 +34,7 @@
     /// Body.
     pub body: Bytes,
     /// What the policy says of it.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// When the answer is due.
     pub deadline: Millis,
     /// Hash of the key to claim first, for one that may not be repeated.
@@ -87,7 +87,7 @@
             }
         }
     }
-    let mut attempt = attempt::Id { origin: shared.me, sequence: job.sequence, round: 0 };
+    let mut attempt = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
     let mut ran = false;
     loop {
         let runner = reserve::place(shared, job.wanted()).await;
@@ -100,13 +100,13 @@
         let result = once(shared, job, &runner).await;
         shared.flights.end(attempt);
         let id = runner.id;
-        shared.keeper.visit(move |node, _| node.board.unsent(id)).await;
+        shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
         let error = match result {
             Ok(response) => return answer(shared, response, tape),
             Err(error) => error,
         };
         ran |= !matches!(error, http::Error::Connect { .. });
-        let pause = retry(shared, job, (id, &error), ran, attempt.round).await?;
+        let pause = retry(shared, job, (id, &error), ran, attempt.retry_number).await?;
         tokio::time::sleep(Duration::from_millis(pause)).await;
         attempt = attempt.next();
     }
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -13,7 +13,7 @@
 use crosslane_protocol::refusal::{self, Code, Refusal};
 use crosslane_state::hash;
 use crosslane_state::incarnation::Incarnation;
-use crosslane_state::request::{Class, Key, Organisation, Outcome, Verdict};
+use crosslane_state::request::{Class, Decision, Key, Organisation, Outcome};
 use crosslane_state::runner::Role;
 use crosslane_state::time::Millis;
 use hyper::body::Incoming;
@@ -39,7 +39,7 @@
     /// What it asks for.
     pub target: Target,
     /// What the policy says of it.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// On whose behalf.
     pub organisation: Organisation,
     /// When the first output is due.
@@ -217,7 +217,7 @@
     head: &Parts,
     target: &Target,
     organisation: &str,
-) -> Result<Verdict, Refusal> {
+) -> Result<Decision, Refusal> {
     let mut input = Input {
         organisation: organisation.to_owned(),
         method: head.method.to_string(),
@@ -245,7 +245,7 @@
     let Some(raw) = asked.head.headers.get(KEY) else {
         shared.keeper.visit(|node, _| node.budget.fresh()).await;
         let sequence = shared.sequence();
-        let key = Key::mint(shared.me, sequence);
+        let key = Key::generate(shared.me, sequence);
         let tape = Arc::new(Tape::default());
         let reader = tape.reader();
         job::spawn(shared, &asked, job::Id { key: key.clone(), keyed: false }, sequence, tape);
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -21,7 +21,7 @@
 /// What makes two requests under one key the same.
 pub fn fingerprint(asked: &Asked) -> u64 {
     let head = format!("{} {}\n", asked.head.method, asked.head.uri);
-    hash::weight(hash::of(head.as_bytes()), hash::of(&asked.body))
+    hash::rendezvous_weight(hash::of(head.as_bytes()), hash::of(&asked.body))
 }
 
 /// The key of a run, and whether the ledger has it.
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -111,7 +111,7 @@
         .visit(move |node, now| {
             let loads = node.reports(now);
             for (id, report) in &loads {
-                node.board.report(*id, *report, now);
+                node.board.record_report(*id, *report, now);
             }
             Beat { from, version, loads, leaves: node.told().cloned().collect(), newcomer }
         })
@@ -127,7 +127,7 @@
         node.detector.heard(beat.from, now);
         node.saw_version(beat.from, beat.version);
         for (id, report) in beat.loads {
-            node.board.report(id, report, now);
+            node.board.record_report(id, report, now);
         }
         beat.leaves.into_iter().filter(|it| node.tell(it.clone())).count()
     };
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -52,7 +52,7 @@
             Err(retry_after) => {
                 refused = Some(refused.map_or(retry_after, |it| it.min(retry_after)));
                 let id = runner.id;
-                shared.keeper.visit(move |node, _| node.board.unsent(id)).await;
+                shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
                 avoid.push(id);
             }
         }
@@ -86,7 +86,7 @@
     };
     match grant {
         Grant::Granted { start_in, wait } => {
-            shared.keeper.visit(move |node, _| node.board.told(runner, wait)).await;
+            shared.keeper.visit(move |node, _| node.board.record_wait(runner, wait)).await;
             Ok((owner, start_in))
         }
         Grant::Refused { retry_after } => Err(retry_after),
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -20,7 +20,7 @@
 use crosslane_protocol::engine::{Decode, Import, Line, Prefill};
 use crosslane_protocol::refusal::{Code, Refusal};
 use crosslane_state::attempt;
-use crosslane_state::request::{Class, Organisation, Outcome, Verdict};
+use crosslane_state::request::{Class, Decision, Organisation, Outcome};
 use crosslane_state::runner::{Id, Role, Runner};
 use crosslane_state::time::Millis;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     /// The request.
     pub completion: Completion,
     /// What the policy says of it.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// On whose behalf.
     pub organisation: Organisation,
     /// When the first output is due.
@@ -96,7 +96,7 @@
 
 /// Runs a request; its pieces go to the tape.
 pub async fn run(shared: Arc<Shared>, job: Job, tape: Arc<Tape>) -> Result<(), Refusal> {
-    let first = attempt::Id { origin: shared.me, sequence: job.sequence, round: 0 };
+    let first = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
     tape.head(Head { status: 200, content_type: crate::http::JSON.to_owned() });
     let splice = Splice::new(first);
     let run = Run { shared, job, tape, splice, claimed: false, ran: false };
@@ -121,7 +121,7 @@
             let Err(failure) = result else {
                 return Ok(());
             };
-            let pause = self.retry(failure, attempt.round).await?;
+            let pause = self.retry(failure, attempt.retry_number).await?;
             tokio::time::sleep(Duration::from_millis(pause)).await;
             attempt = attempt.next();
             self.splice.switch(attempt);
--- a/crates/transport/src/tape.rs
+++ b/crates/transport/src/tape.rs
@@ -73,7 +73,7 @@
     pub fn replay(answer: &Answer) -> Self {
         let tape = Self::default();
         tape.head(Head { status: answer.status, content_type: answer.content_type.clone() });
-        for piece in &answer.pieces {
+        for piece in &answer.chunks {
             tape.push(Bytes::from(piece.clone()));
         }
         tape.end(End::Done);
@@ -104,7 +104,7 @@
         Some(Answer {
             status: head.status,
             content_type: head.content_type,
-            pieces: inner.pieces.iter().map(|it| it.to_vec()).collect(),
+            chunks: inner.pieces.iter().map(|it| it.to_vec()).collect(),
         })
     }
 
