--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -2,7 +2,7 @@
 
 use crosslane_coordination::placement::{Chooser, Mode, Query};
 use crosslane_state::incarnation::Incarnation;
-use crosslane_state::load::{Board, Report};
+use crosslane_state::load::{Report, Tracker};
 use crosslane_state::member::{Member, Roster};
 use crosslane_state::runner::{Id, Role, Runner, Table};
 use crosslane_state::time::Millis;
@@ -16,9 +16,9 @@
     divan::main();
 }
 
-fn pool(size: usize) -> (Table, Board) {
+fn pool(size: usize) -> (Table, Tracker) {
     let mut table = Table::default();
-    let mut board = Board::default();
+    let mut board = Tracker::default();
     for place in 0..size {
         let name = format!("decode-{place}");
         let id = Id::of(&name);
@@ -47,7 +47,7 @@
         let query = Query { pool: keys, table: &table, board: &board, work: 100, now: Millis(1) };
         let chosen = chooser.choose(black_box(query), |_| true);
         if let Some(id) = chosen {
-            board.sent(id);
+            board.record_sent(id);
         }
         chosen
     });
@@ -106,13 +106,13 @@
 #[divan::bench(args = SPREAD_MODES, consts = SIZES, sample_count = 1, sample_size = 1)]
 fn spread<const SIZE: usize>(mode: Mode) -> u32 {
     let (table, _) = pool(SIZE);
-    let mut board = Board::default();
+    let mut board = Tracker::default();
     let mut chooser = Chooser::new(mode, 1);
     for _ in 0..SIZE * 10 {
         let keys = table.pool(Role::Decode, "reply");
         let query = Query { pool: keys, table: &table, board: &board, work: 100, now: Millis(1) };
         if let Some(id) = chooser.choose(query, |_| true) {
-            board.sent(id);
+            board.record_sent(id);
         }
     }
     let depths = || table.iter().map(|it| board.estimate(it.id).outstanding());
--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -25,7 +25,7 @@
         return Ok(None);
     };
     match credential {
-        Credential::Absent if route.open => Ok(None),
+        Credential::Absent if route.allow_anonymous => Ok(None),
         Credential::Absent | Credential::Malformed => Err(Denial::NoKey),
         Credential::Key(digest) => {
             organisations.by_key_digest(digest).map(Some).ok_or(Denial::UnknownKey)
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -11,7 +11,7 @@
 use crate::slots::{self, Allocator, Ask, Grant};
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
-use crosslane_state::load::{Board, Report};
+use crosslane_state::load::{Report, Tracker};
 use crosslane_state::member::Member;
 use crosslane_state::policy::Version;
 use crosslane_state::request::Key;
@@ -91,7 +91,7 @@
     /// The folded log.
     pub state: fold::State,
     /// Load of runners.
-    pub board: Board,
+    pub board: Tracker,
     /// Endings of keyed requests.
     pub ledger: Ledger,
     /// Retries left.
@@ -113,7 +113,7 @@
     pub fn new(options: Options) -> Self {
         Self {
             state: fold::State::default(),
-            board: Board::default(),
+            board: Tracker::default(),
             ledger: Ledger::new(options.ledger),
             budget: Budget::new(options.retry_percent, options.seed),
             detector: Detector::new(options.suspect_millis),
@@ -310,7 +310,7 @@
             .choose(query, |runner| allowed(runner) && known(runner))
             .or_else(|| self.chooser.choose(query, allowed))
             .or_else(|| self.chooser.choose(Query { now: Millis(u64::MAX), ..query }, allowed))?;
-        self.board.sent(chosen);
+        self.board.record_sent(chosen);
         Some(chosen)
     }
 
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -3,7 +3,7 @@
 //! Two candidates are drawn and the one with less expected work is taken, so the cost of a
 //! decision does not grow with the pool. The other modes are baselines to measure against.
 
-use crosslane_state::load::{Board, Entry};
+use crosslane_state::load::{Estimate, Tracker};
 use crosslane_state::runner::{Id, Key, Runner, Table};
 use crosslane_state::time::Millis;
 use rand::rngs::SmallRng;
@@ -34,7 +34,7 @@
     /// Their descriptions.
     pub table: &'a Table,
     /// Their load.
-    pub board: &'a Board,
+    pub board: &'a Tracker,
     /// How long the request will hold a slot, in milliseconds.
     pub work: u64,
     /// Time of the decision.
@@ -125,6 +125,6 @@
 /// Fixed-point scale for load per slot.
 const COST_SCALE: u32 = 1000;
 
-fn reported(entry: Entry) -> u32 {
+fn reported(entry: Estimate) -> u32 {
     entry.report.busy + entry.report.waiting
 }
--- a/crates/coordination/tests/identity.rs
+++ b/crates/coordination/tests/identity.rs
@@ -7,7 +7,8 @@
 use rstest::rstest;
 use std::collections::HashMap;
 
-const LIMITS: Limits = Limits { header_bytes: 1, body_bytes: 1, header_millis: 1, idle_millis: 1 };
+const LIMITS: Limits =
+    Limits { max_header_bytes: 1, max_body_bytes: 1, header_timeout_ms: 1, idle_timeout_ms: 1 };
 
 fn key(text: &str) -> Fingerprint {
     Fingerprint::of(&[text.as_bytes()])
@@ -17,14 +18,14 @@
     Route {
         name: "r".into(),
         host: "h".into(),
-        prefix: "/".into(),
+        path_prefix: "/".into(),
         kind: Kind::Safe,
-        timeout: 1,
-        target: 1,
-        gap: 1,
-        attempts: 1,
+        timeout_ms: 1,
+        target_latency_ms: 1,
+        target_gap_ms: 1,
+        max_attempts: 1,
         shares: Vec::new(),
-        open,
+        allow_anonymous: open,
     }
 }
 
--- a/crates/crosslane/src/policy.rs
+++ b/crates/crosslane/src/policy.rs
@@ -8,7 +8,7 @@
 use crosslane_coordination::program::{Input, Program};
 use crosslane_coordination::record::Record;
 use crosslane_protocol::envelope::{self, Raw};
-use crosslane_protocol::platform::CONTROL;
+use crosslane_protocol::platform::CONTROL_STREAM;
 use crosslane_state::policy::{Publication, Version};
 use crosslane_transport::http::Client;
 use crosslane_transport::platform::{Platform, Read};
@@ -79,7 +79,7 @@
     pub async fn read(&mut self) -> Result<(), Error> {
         let mut from = self.state.next;
         loop {
-            match self.platform.read(CONTROL, from, Duration::ZERO).await? {
+            match self.platform.read(CONTROL_STREAM, from, Duration::ZERO).await? {
                 Read::Trimmed { first } => from = first,
                 Read::Page(page) => {
                     for (place, text) in page.records.iter().enumerate() {
@@ -99,7 +99,7 @@
 
     /// Appends a record; an error leaves open whether it was.
     pub async fn append(&self, record: &Record) -> Result<(), Error> {
-        self.platform.append(CONTROL, vec![envelope::write(record)]).await?;
+        self.platform.append(CONTROL_STREAM, vec![envelope::encode(record)]).await?;
         Ok(())
     }
 
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -40,8 +40,12 @@
 const CUT: &str = "cut";
 
 /// Limits before a configuration is known.
-const UNCONFIGURED: Limits =
-    Limits { header_bytes: 16_384, body_bytes: 4 << 20, header_millis: 3_000, idle_millis: 15_000 };
+const UNCONFIGURED: Limits = Limits {
+    max_header_bytes: 16_384,
+    max_body_bytes: 4 << 20,
+    header_timeout_ms: 3_000,
+    idle_timeout_ms: 15_000,
+};
 
 /// Smallest buffer that hyper takes, in bytes.
 const LEAST_BUFFER: usize = 8_192;
@@ -81,8 +85,8 @@
     let connection = http1::Builder::new()
         .keep_alive(!stopping)
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(limits.idle_millis))
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
+        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
@@ -149,7 +153,7 @@
         ask.identify(organisation.map(|it| it.name.as_str()));
         story.organisation.clone_from(&ask.organisation);
     }
-    let held = Duration::from_millis(route.timeout);
+    let held = Duration::from_millis(route.timeout_ms);
     let deadline = node.clock.deadline(ask.patience.map_or(held, |it| it.min(held)));
     let body = read(body, table.limits, deadline.left()).await?;
     let service = share(route, &ask.id);
@@ -186,7 +190,7 @@
 }
 
 async fn read(body: Incoming, limits: Limits, left: Duration) -> Result<Bytes, Refusal> {
-    http::read(body, limits.body_bytes, left).await.map_err(|error| match error {
+    http::read(body, limits.max_body_bytes, left).await.map_err(|error| match error {
         ReadError::TooLong => Reason::TooLong.into(),
         ReadError::Incomplete => Refusal::later(Reason::Incomplete, COME_BACK),
     })
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -313,7 +313,7 @@
     /// Connections that this node may have at one endpoint of a service.
     pub fn connections(&self, service: &str) -> u32 {
         let table = self.table();
-        let cap = table.as_ref().and_then(|it| it.services.get(service)?.connections);
+        let cap = table.as_ref().and_then(|it| it.services.get(service)?.max_connections);
         let (_, nodes) = lock(&self.members).seen(self.now());
         cap.map_or(u32::MAX, |it| connections::part(it, nodes))
     }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -76,7 +76,7 @@
                 }
             }
         }
-        if tries.sent >= route.attempts || call.left().is_zero() {
+        if tries.sent >= route.max_attempts || call.left().is_zero() {
             break;
         }
     }
@@ -130,7 +130,7 @@
     }
 
     fn last(&self) -> bool {
-        self.sent + 1 >= self.route.attempts
+        self.sent + 1 >= self.route.max_attempts
     }
 
     async fn attempt(&mut self, place: (Key, f64)) -> Result<Attempt, Failure> {
@@ -154,7 +154,7 @@
         at: Key,
         attempt: impl Future<Output = T>,
     ) -> Result<T, (Key, f64)> {
-        let patience = self.route.target as f64 * PATIENCE;
+        let patience = self.route.target_latency_ms as f64 * PATIENCE;
         let pause = Duration::from_millis((patience / f64::from(PAUSES)) as u64);
         let watch = Watch { node: self.node, call: self.call, at, pauses: (PAUSES, pause) };
         watch::unless_silent(watch, attempt, || ready(self.choose(true))).await
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -285,7 +285,7 @@
         if call.left().is_zero() {
             return Some("cut: time ran out");
         }
-        if *sent >= route.attempts {
+        if *sent >= route.max_attempts {
             return Some("cut: no attempt left");
         }
         if !node.take_repeat(service) {
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -98,7 +98,7 @@
 
     fn no_room(&self, bound: &'static str, rounds: u32) {
         let tokens = self.tokens();
-        let occupancy = self.node.pool().occupancy(&self.service, self.engine.capacity);
+        let occupancy = self.node.pool().occupancy(&self.service, self.engine.kv_capacity_tokens);
         let request = self.call.ask.id.as_str();
         let late = self.standing != Standing::OnTime;
         let outcome = "no_room";
@@ -111,7 +111,7 @@
         let mut seat = Seat::take(&self.node, place, self.tokens());
         // Before memory is reserved, which would lie idle without it.
         seat.admit(&self.call.ask.id).await.ok()?;
-        let request = engine::take_hold(&engine, tokens, self.engine.hold_limit);
+        let request = engine::take_hold(&engine, tokens, self.engine.max_hold_ms);
         let answer = self.node.control.call(engine.address, request, HOLD_ANSWER).await;
         let id = match &answer {
             Ok(answer) if answer.status.is_success() => engine::hold(&answer.body),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -87,8 +87,8 @@
     /// A stream for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
-            target: route.target,
-            silence: route.silence(),
+            target: route.target_latency_ms,
+            silence: route.caller_idle_timeout_ms(),
             spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
             resumes: call.ask.last_event.is_some(),
         };
@@ -191,7 +191,7 @@
     /// one, and its load.
     pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
         let room = Some(Room { tokens: self.tokens(), below });
-        let (service, capacity) = (self.service.as_str(), self.engine.capacity);
+        let (service, capacity) = (self.service.as_str(), self.engine.kv_capacity_tokens);
         let connections = self.node.connections(service);
         let stage = Stage::Decode;
         let query = Query { service, stage, capacity, connections, room, except };
@@ -281,7 +281,7 @@
         sent: u32,
         attempt: impl Future<Output = T>,
     ) -> Result<T, Spare> {
-        let pause = Duration::from_millis(self.route.gap);
+        let pause = Duration::from_millis(self.route.target_gap_ms);
         let watch = Watch { node: &self.node, call: &self.call, at, pauses: (SILENT, pause) };
         watch::unless_silent(watch, attempt, || self.room_elsewhere(at, sent)).await
     }
@@ -289,7 +289,7 @@
     /// Memory at another engine than a silent one, the prompt and a repeat for it, if the stream may go on there.
     async fn room_elsewhere(&self, silent: Key, sent: u32) -> Option<Spare> {
         let resumable = self.route.kind == Kind::Stream { resumable: true };
-        if !resumable || sent >= self.route.attempts {
+        if !resumable || sent >= self.route.max_attempts {
             return None;
         }
         quarantine::check(&self.node, &self.call).ok()?;
@@ -320,7 +320,7 @@
             return Err(given_up(failure));
         }
         let mut failure = failure;
-        while !failure.barred() && self.sent < self.route.attempts.max(1) {
+        while !failure.barred() && self.sent < self.route.max_attempts.max(1) {
             let paid = self.sent == 0 || self.spare.is_some();
             if !paid && !self.node.take_repeat(&self.service) {
                 self.node.meter.retried(Retry::DeniedBudget);
--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -15,16 +15,16 @@
 
 /// API that a request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Form {
+pub enum Api {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-impl Form {
+impl Api {
     /// The API served at a path.
-    pub fn at(path: &str) -> Option<Self> {
+    pub fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/completions" => Some(Self::Text),
             "/v1/chat/completions" => Some(Self::Chat),
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
     /// Text or chat completion.
-    pub form: Form,
+    pub api: Api,
     /// Name of the model.
     pub model: String,
     /// Prompt; for a chat, its messages joined by line feeds.
@@ -70,7 +70,7 @@
 /// A request body, not yet validated, with the API of its path.
 pub struct Raw<'a> {
     /// Text or chat completion.
-    pub form: Form,
+    pub api: Api,
     /// Body as received.
     pub body: &'a [u8],
 }
@@ -81,12 +81,12 @@
     fn try_from(raw: Raw<'_>) -> Result<Self, Error> {
         let value: Value = serde_json::from_slice(raw.body)
             .map_err(|error| Error::Json { message: error.to_string() })?;
-        let prompt = match raw.form {
-            Form::Text => text(&value, "prompt")?,
-            Form::Chat => messages(&value)?,
+        let prompt = match raw.api {
+            Api::Text => text(&value, "prompt")?,
+            Api::Chat => messages(&value)?,
         };
         Ok(Self {
-            form: raw.form,
+            api: raw.api,
             model: text(&value, "model")?,
             prompt,
             max_tokens: max_tokens(&value)?,
@@ -97,39 +97,39 @@
 
 impl Completion {
     /// Estimates the length of the prompt, in tokens.
-    pub fn prompt_tokens(&self) -> u64 {
-        tokens(&self.prompt)
+    pub fn estimated_prompt_tokens(&self) -> u64 {
+        estimate_tokens(&self.prompt)
     }
 
     /// Body of a streamed chunk.
     pub fn chunk<'a>(&'a self, id: &'a str, text: &'a str) -> Body<'a> {
-        Body { choices: [Choice::new(self.form, text, Kind::Chunk)], ..self.body(id, true) }
+        Body { choices: [Choice::new(self.api, text, Kind::Chunk)], ..self.body(id, true) }
     }
 
     /// Body of the last chunk of a stream.
     pub fn last_chunk<'a>(&'a self, id: &'a str, generated_tokens: u64) -> Body<'a> {
-        let choices = [Choice::new(self.form, "", Kind::LastChunk)];
+        let choices = [Choice::new(self.api, "", Kind::LastChunk)];
         Body { choices, usage: Some(self.usage(generated_tokens)), ..self.body(id, true) }
     }
 
     /// Body of a response that is not streamed.
-    pub fn whole<'a>(&'a self, id: &'a str, text: &'a str, generated_tokens: u64) -> Body<'a> {
-        let choices = [Choice::new(self.form, text, Kind::Full)];
+    pub fn full<'a>(&'a self, id: &'a str, text: &'a str, generated_tokens: u64) -> Body<'a> {
+        let choices = [Choice::new(self.api, text, Kind::Full)];
         Body { choices, usage: Some(self.usage(generated_tokens)), ..self.body(id, false) }
     }
 
     fn body<'a>(&'a self, id: &'a str, chunk: bool) -> Body<'a> {
-        let object = match (self.form, chunk) {
-            (Form::Text, _) => "text_completion",
-            (Form::Chat, true) => "chat.completion.chunk",
-            (Form::Chat, false) => "chat.completion",
+        let object = match (self.api, chunk) {
+            (Api::Text, _) => "text_completion",
+            (Api::Chat, true) => "chat.completion.chunk",
+            (Api::Chat, false) => "chat.completion",
         };
-        let choices = [Choice::new(self.form, "", Kind::Chunk)];
+        let choices = [Choice::new(self.api, "", Kind::Chunk)];
         Body { id, object, model: &self.model, choices, usage: None }
     }
 
     fn usage(&self, generated_tokens: u64) -> Usage {
-        let prompt = self.prompt_tokens();
+        let prompt = self.estimated_prompt_tokens();
         Usage {
             prompt_tokens: prompt,
             completion_tokens: generated_tokens,
@@ -184,13 +184,13 @@
 }
 
 impl<'a> Choice<'a> {
-    fn new(api: Form, text: &'a str, kind: Kind) -> Self {
+    fn new(api: Api, text: &'a str, kind: Kind) -> Self {
         let message = |present: bool| {
-            (api == Form::Chat && present).then_some(Message { role: "assistant", content: text })
+            (api == Api::Chat && present).then_some(Message { role: "assistant", content: text })
         };
         Self {
             index: 0,
-            text: (api == Form::Text).then_some(text),
+            text: (api == Api::Text).then_some(text),
             delta: message(kind != Kind::Full),
             message: message(kind == Kind::Full),
             finish_reason: (kind != Kind::Chunk).then_some("stop"),
@@ -199,7 +199,7 @@
 }
 
 /// Estimates the length of a text, in tokens.
-pub fn tokens(text: &str) -> u64 {
+pub fn estimate_tokens(text: &str) -> u64 {
     text.len().div_ceil(BYTES_PER_TOKEN) as u64
 }
 
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
     /// One token of the output.
-    Piece {
+    Token {
         /// Offset of the token in the output.
         offset: u64,
         /// Text.
@@ -85,7 +85,7 @@
     /// The last line.
     End {
         /// Length of the output, in tokens.
-        total: u64,
+        total_tokens: u64,
     },
 }
 
@@ -100,9 +100,11 @@
     fn try_from(raw: RawLine) -> Result<Self, LineError> {
         match raw {
             RawLine { o: Some(offset), t: Some(text), end: None } => {
-                Ok(Self::Piece { offset, text })
+                Ok(Self::Token { offset, text })
+            }
+            RawLine { o: None, t: None, end: Some(length) } => {
+                Ok(Self::End { total_tokens: length })
             }
-            RawLine { o: None, t: None, end: Some(length) } => Ok(Self::End { total: length }),
             _ => Err(LineError),
         }
     }
@@ -111,8 +113,8 @@
 impl From<Line> for RawLine {
     fn from(line: Line) -> Self {
         match line {
-            Line::Piece { offset, text } => Self { o: Some(offset), t: Some(text), end: None },
-            Line::End { total } => Self { o: None, t: None, end: Some(total) },
+            Line::Token { offset, text } => Self { o: Some(offset), t: Some(text), end: None },
+            Line::End { total_tokens: total } => Self { o: None, t: None, end: Some(total) },
         }
     }
 }
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -13,13 +13,13 @@
 pub enum Error {
     /// It is torn or not a record at all; every node skips it.
     #[display("malformed record: {message}")]
-    Torn {
+    Malformed {
         /// The parser's error message.
         message: String,
     },
     /// It was written by a newer release; the log can't be folded beyond it.
     #[display("unsupported record format {format}; this release reads up to {FORMAT}")]
-    Newer {
+    NewerFormat {
         /// Format number found.
         format: u32,
     },
@@ -66,15 +66,15 @@
 }
 
 /// Encodes a record with the current format number.
-pub fn write(record: &impl Serialize) -> String {
+pub fn encode(record: &impl Serialize) -> String {
     serde_json::to_string(&Envelope { format: FORMAT, record }).unwrap_or_default()
 }
 
 fn decode<T: for<'de> Deserialize<'de>>(text: &str) -> Result<T, Error> {
-    let malformed = |error: serde_json::Error| Error::Torn { message: error.to_string() };
+    let malformed = |error: serde_json::Error| Error::Malformed { message: error.to_string() };
     let header: Header = serde_json::from_str(text).map_err(malformed)?;
     if header.format > FORMAT {
-        return Err(Error::Newer { format: header.format });
+        return Err(Error::NewerFormat { format: header.format });
     }
     let envelope: Envelope<T> = serde_json::from_str(text).map_err(malformed)?;
     Ok(envelope.record)
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -15,9 +15,9 @@
 
 /// Heartbeat that neighbours exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Sender.
-    pub from: Incarnation,
+    pub sender: Incarnation,
     /// Policy version that the sender uses.
     pub version: Version,
     /// Load of the runners that the sender owns.
@@ -25,7 +25,7 @@
     /// Leave announcements, which may not be in the log yet.
     pub leaves: Vec<Leave>,
     /// Description of the sender, while its join may not have reached others through the log.
-    pub newcomer: Option<Member>,
+    pub new_member: Option<Member>,
 }
 
 /// State for a node that starts while the log is unavailable.
@@ -34,12 +34,12 @@
     /// State folded from the control stream of the log.
     pub state: fold::State,
     /// Nodes whose join is not in the log.
-    pub guests: Vec<Member>,
+    pub unlogged_members: Vec<Member>,
 }
 
 /// Idempotency record that a stopping node hands over to the next owner of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct IdempotencyRecord {
     /// Idempotency key.
     pub key: Key,
     /// Fingerprint of the request.
@@ -52,26 +52,26 @@
 #[tarpc::service]
 pub trait Peer {
     /// Takes the caller's heartbeat and returns the callee's.
-    async fn beat(heartbeat: Beat) -> Beat;
+    async fn heartbeat(heartbeat: Heartbeat) -> Heartbeat;
     /// Reserves a slot of a runner that the callee owns.
-    async fn reserve(runner: runner::Id, ask: Ask) -> Grant;
+    async fn reserve_slot(runner: runner::Id, ask: Ask) -> Grant;
     /// Frees a slot of a runner that the callee owns.
-    async fn release(runner: runner::Id, attempt: attempt::Id);
+    async fn release_slot(runner: runner::Id, attempt: attempt::Id);
     /// For each of the callee's attempts, whether it is still in use.
-    async fn wanted(attempts: Vec<attempt::Id>) -> Vec<bool>;
+    async fn still_in_use(attempts: Vec<attempt::Id>) -> Vec<bool>;
     /// Releases a key to the caller unless the callee has a record of it; true if it is released.
-    async fn inquire(key: Key, new_owner: Incarnation) -> bool;
+    async fn release_key(key: Key, new_owner: Incarnation) -> bool;
     /// Indirect probe: whether the callee can reach a node that the caller suspects.
-    async fn hears(node: Incarnation) -> bool;
+    async fn probe(node: Incarnation) -> bool;
     /// Stores copies of the caller's claims while the log is unavailable; false if one is rejected.
-    async fn copy_claims(claimer: Incarnation, key_hashes: Vec<u64>) -> bool;
+    async fn replicate_claims(claimer: Incarnation, key_hashes: Vec<u64>) -> bool;
     /// Returns the copies that the callee holds of a departed node's claims.
-    async fn copied_claims(claimer: Incarnation) -> Vec<u64>;
+    async fn replicated_claims(claimer: Incarnation) -> Vec<u64>;
     /// Hands over idempotency records.
-    async fn handover(records: Vec<Ending>);
+    async fn handover(records: Vec<IdempotencyRecord>);
     /// Returns the callee's state, for a node that starts while the log is unavailable.
     async fn snapshot() -> Snapshot;
     /// Number of requests in progress at the callee that use a VM. For the callee's own VM, this is all its
     /// requests in progress, and one more until the callee has stopped.
-    async fn busy(vm: String) -> u32;
+    async fn in_progress(vm: String) -> u32;
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Log stream of membership, leaving VMs and policy.
-pub const CONTROL: &str = "control";
+pub const CONTROL_STREAM: &str = "control";
 
 /// Log stream of claims on the idempotency keys of requests that may run only once.
-pub const CLAIMS: &str = "claims";
+pub const CLAIMS_STREAM: &str = "claims";
 
 /// Body of `POST /streams/NAME`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 
 /// Response to `GET /vms`; may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct List {
+pub struct VmList {
     /// All VMs.
     pub vms: Vec<Vm>,
 }
--- a/crates/protocol/tests/envelope.rs
+++ b/crates/protocol/tests/envelope.rs
@@ -2,7 +2,7 @@
 
 use crosslane_coordination::fold::State;
 use crosslane_coordination::record::{Leave, Record};
-use crosslane_protocol::envelope::{Error, Raw, write};
+use crosslane_protocol::envelope::{Error, Raw, encode};
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
 use crosslane_state::policy::Version;
@@ -17,7 +17,7 @@
 #[rstest]
 fn record_round_trips() {
     let record = Record::Back { vm: "decode-0".to_owned() };
-    assert_eq!(decode(&write(&record)), Ok(record));
+    assert_eq!(decode(&encode(&record)), Ok(record));
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
         state.fold(offset as u64, Some(record)).unwrap();
     }
     let checkpoint = Record::Checkpoint { state: Box::new(state) };
-    assert_eq!(decode(&write(&checkpoint)), Ok(checkpoint));
+    assert_eq!(decode(&encode(&checkpoint)), Ok(checkpoint));
 }
 
 #[rstest]
@@ -54,13 +54,13 @@
 #[case("{\"format\":1,\"record\":{\"type\":\"unheard_of\"}}")]
 #[case("{\"format\":1,\"record\":{\"type\":\"back\"}}")]
 fn malformed_record_is_rejected(#[case] text: &str) {
-    assert!(matches!(decode(text), Err(Error::Torn { .. })), "{text}");
+    assert!(matches!(decode(text), Err(Error::Malformed { .. })), "{text}");
 }
 
 #[rstest]
 fn newer_format_is_rejected() {
     let text = "{\"format\":2,\"record\":{\"type\":\"back\",\"vm\":\"v\"}}";
-    assert_eq!(decode(text), Err(Error::Newer { format: 2 }));
+    assert_eq!(decode(text), Err(Error::NewerFormat { format: 2 }));
 }
 
 /// Proptest settings with a fixed seed, so that every run tests the same cases.
@@ -76,7 +76,7 @@
         text in ".{0,200}",
         kept_chars in 0..200usize,
     ) {
-        let whole = write(&Record::Withdraw { publication: text.clone() });
+        let whole = encode(&Record::Withdraw { publication: text.clone() });
         let truncated: String = whole.chars().take(kept_chars).collect();
         for text in [text, truncated] {
             prop_assert!(decode(&text).is_ok() == (text == whole));
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::reply::{lost, query, read, take};
 use crate::text;
 use bytes::Bytes;
-use crosslane_protocol::completion::tokens;
+use crosslane_protocol::completion::estimate_tokens;
 use crosslane_protocol::engine::{
     Decode, Event, Events, Export, Held, HeldList, Import, Line, Load, Order, Prefill, Prefilled,
     RawLine,
@@ -135,7 +135,7 @@
         let Some(body) = read::<Prefill>(body).await else {
             return json(400, &json!({ "error": "not a prefill" }));
         };
-        let total = tokens(&body.prompt) + body.done;
+        let total = estimate_tokens(&body.prompt) + body.done;
         let cached = {
             let mut state = self.lock();
             if state.tombstones.contains(&body.attempt) {
@@ -208,7 +208,7 @@
             self.lock().attempts.remove(&body.attempt);
             return json(409, &json!({ "error": "the source has no such KV cache" }));
         };
-        let held = tokens(&export.prompt) + export.done;
+        let held = estimate_tokens(&export.prompt) + export.done;
         let micros = held * self.options.token_bytes * 1_000_000 / self.options.link_rate;
         tokio::time::sleep(Duration::from_micros(micros)).await;
         let mut state = self.lock();
@@ -419,7 +419,7 @@
         };
         let hash = xxhash_rust::xxh3::xxh3_64(prefix.as_bytes());
         if self.prefixes.contains(&hash) {
-            return tokens(prefix);
+            return estimate_tokens(prefix);
         }
         self.prefixes.push_back(hash);
         let sequence = self.events.len() as u64;
@@ -450,7 +450,7 @@
                 return Err("stream broken on order".into());
             }
             if let Some(line) = self.ready()? {
-                let more = matches!(line, Line::Piece { .. });
+                let more = matches!(line, Line::Token { .. });
                 let mut bytes = serde_json::to_vec(&RawLine::from(line))?;
                 bytes.push(b'\n');
                 return Ok((bytes.into(), more));
@@ -466,8 +466,8 @@
             let offset = self.next;
             self.next += 1;
             let text = text::token(&attempt.prompt, offset);
-            return Ok(Some(Line::Piece { offset, text }));
+            return Ok(Some(Line::Token { offset, text }));
         }
-        Ok((attempt.stage == Stage::Ended).then_some(Line::End { total: attempt.end }))
+        Ok((attempt.stage == Stage::Ended).then_some(Line::End { total_tokens: attempt.end }))
     }
 }
--- a/crates/standins/src/vms.rs
+++ b/crates/standins/src/vms.rs
@@ -1,7 +1,7 @@
 //! The platform's list of VMs, which lags.
 
 use crate::reply::read;
-use crosslane_protocol::platform::{List, State, Vm};
+use crosslane_protocol::platform::{State, Vm, VmList};
 use crosslane_transport::http::{Reply, json};
 use crosslane_transport::serve;
 use hyper::body::Incoming;
@@ -46,10 +46,10 @@
         }
     }
 
-    fn list(&self) -> List {
+    fn list(&self) -> VmList {
         let changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let seen = changes.iter().filter(|(at, _)| at.elapsed() >= self.lag);
         let newest: BTreeMap<_, _> = seen.map(|(_, vm)| (vm.name.clone(), vm.clone())).collect();
-        List { vms: newest.into_values().collect() }
+        VmList { vms: newest.into_values().collect() }
     }
 }
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -18,7 +18,7 @@
 
 /// Load estimate of one runner.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Entry {
+pub struct Estimate {
     /// Latest report.
     pub report: Report,
     /// Time at which it arrived.
@@ -29,7 +29,7 @@
     pub avoid_until: Millis,
 }
 
-impl Entry {
+impl Estimate {
     /// Estimated number of outstanding requests: in slots, queued, or sent since.
     pub fn outstanding(&self) -> u32 {
         self.report.busy + self.report.waiting + self.sent_since_report
@@ -38,13 +38,13 @@
 
 /// Load estimates of all runners for which this node has reports.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    estimates: HashMap<Id, Entry>,
+pub struct Tracker {
+    estimates: HashMap<Id, Estimate>,
 }
 
-impl Board {
+impl Tracker {
     /// Estimate for a runner, empty without a report.
-    pub fn estimate(&self, id: Id) -> Entry {
+    pub fn estimate(&self, id: Id) -> Estimate {
         self.estimates.get(&id).copied().unwrap_or_default()
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Counts a request sent to a runner.
-    pub fn sent(&mut self, id: Id) {
+    pub fn record_sent(&mut self, id: Id) {
         self.estimates.entry(id).or_default().sent_since_report += 1;
     }
 
--- a/crates/state/src/route.rs
+++ b/crates/state/src/route.rs
@@ -41,21 +41,21 @@
     /// Host name that it matches, in lower case.
     pub host: String,
     /// Path prefix that it matches; ends with a slash.
-    pub prefix: String,
+    pub path_prefix: String,
     /// Which requests may be repeated.
     pub kind: Kind,
     /// Time limit of a request, in milliseconds.
-    pub timeout: u64,
+    pub timeout_ms: u64,
     /// Target latency of a response or of a stream's first event, in milliseconds.
-    pub target: u64,
+    pub target_latency_ms: u64,
     /// Target for the longest gap between events of a stream, in milliseconds.
-    pub gap: u64,
+    pub target_gap_ms: u64,
     /// Most endpoints to which one request is sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Services that share its traffic.
     pub shares: Vec<Share>,
     /// Whether callers may omit the API key.
-    pub open: bool,
+    pub allow_anonymous: bool,
 }
 
 /// Lower bound of the callers' idle timeout on a stream, in milliseconds.
@@ -63,8 +63,8 @@
 
 impl Route {
     /// Idle timeout of the callers of a stream: time without an event after which they give up, in milliseconds.
-    pub fn silence(&self) -> u64 {
-        MIN_CALLER_IDLE_TIMEOUT_MS.max(4 * self.target).max(8 * self.gap)
+    pub fn caller_idle_timeout_ms(&self) -> u64 {
+        MIN_CALLER_IDLE_TIMEOUT_MS.max(4 * self.target_latency_ms).max(8 * self.target_gap_ms)
     }
 }
 
@@ -72,9 +72,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
     /// KV cache capacity of one engine, in tokens.
-    pub capacity: u64,
+    pub kv_capacity_tokens: u64,
     /// Longest time for which an engine reserves KV cache, in milliseconds.
-    pub hold_limit: u64,
+    pub max_hold_ms: u64,
 }
 
 /// A service.
@@ -83,20 +83,20 @@
     /// Properties of its engines, if it generates tokens.
     pub engine: Option<Engine>,
     /// Most connections to one of its endpoints, from all nodes together; `None` if the configuration gives none.
-    pub connections: Option<u32>,
+    pub max_connections: Option<u32>,
 }
 
 /// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Most bytes of a request's header.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Most bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time within which a header must arrive, in milliseconds.
-    pub header_millis: u64,
+    pub header_timeout_ms: u64,
     /// Time after which an idle connection is closed, in milliseconds.
-    pub idle_millis: u64,
+    pub idle_timeout_ms: u64,
 }
 
 /// A version of the configuration.
@@ -127,7 +127,7 @@
             hosts.entry(route.host.clone()).or_default().push(route);
         }
         for routes in hosts.values_mut() {
-            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         Self { version, hosts, services, limits, organisations: None }
     }
@@ -135,6 +135,6 @@
     /// The route of a host with the longest prefix of a path; a port after the host is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
+        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 }
--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -11,7 +11,7 @@
 use crosslane_coordination::node::Node;
 use crosslane_protocol::envelope::{self, Claims};
 use crosslane_protocol::peer::PeerClient;
-use crosslane_protocol::platform::CLAIMS;
+use crosslane_protocol::platform::CLAIMS_STREAM;
 use crosslane_state::incarnation::Incarnation;
 use ractor::{Actor, ActorProcessingErr, ActorRef, SpawnErr};
 use std::collections::{HashMap, HashSet};
@@ -114,7 +114,8 @@
         let copies: Vec<_> = self.lock().iter().map(|(by, keys)| (*by, keys.clone())).collect();
         for (by, keys) in copies {
             let record = Claims { by, keys: keys.iter().copied().collect() };
-            if shared.platform.append(CLAIMS, vec![envelope::write(&record)]).await.is_err() {
+            if shared.platform.append(CLAIMS_STREAM, vec![envelope::encode(&record)]).await.is_err()
+            {
                 return;
             }
             let mut held = self.lock();
@@ -196,7 +197,8 @@
     }
     let record = Claims { by: shared.me, keys: keys.to_vec() };
     shared.metrics.count(Counter::ClaimAppends);
-    let Ok(offset) = shared.platform.append(CLAIMS, vec![envelope::write(&record)]).await else {
+    let Ok(offset) = shared.platform.append(CLAIMS_STREAM, vec![envelope::encode(&record)]).await
+    else {
         shared.metrics.count(Counter::LogFailed);
         return false;
     };
@@ -223,7 +225,7 @@
         let keys = keys.to_vec();
         let count = keys.len() as u64;
         let call = |client: PeerClient, context| async move {
-            client.copy_claims(context, me, keys).await
+            client.replicate_claims(context, me, keys).await
         };
         if shared.peers.call(peer.control, COPY, call).await == Ok(true) {
             shared.metrics.add(Counter::ClaimCopies, count);
--- a/crates/transport/src/drain.rs
+++ b/crates/transport/src/drain.rs
@@ -4,7 +4,7 @@
 use crate::node::{Phase, Shared};
 use crosslane_coordination::node::Node;
 use crosslane_coordination::record::{Leave, Record};
-use crosslane_protocol::peer::{Ending, PeerClient};
+use crosslane_protocol::peer::{IdempotencyRecord, PeerClient};
 use crosslane_state::member::Member;
 use log::{info, warn};
 use std::collections::BTreeMap;
@@ -75,13 +75,13 @@
 /// Gives every ending to the node that owns its key next; true when all were taken.
 async fn hand_over(shared: &Arc<Shared>) -> bool {
     let collect = |node: &mut Node, _| {
-        let mut by_owner: BTreeMap<SocketAddr, Vec<Ending>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<SocketAddr, Vec<IdempotencyRecord>> = BTreeMap::new();
         for (key, fingerprint, answer) in node.ledger.handover() {
             let Some(next) = node.successor(&key).map(|it: &Member| it.control) else {
                 continue;
             };
             let answer = answer.map(|it| it.as_ref().clone());
-            by_owner.entry(next).or_default().push(Ending { key, fingerprint, answer });
+            by_owner.entry(next).or_default().push(IdempotencyRecord { key, fingerprint, answer });
         }
         by_owner
     };
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -9,7 +9,7 @@
 use crate::{job, keyed, render};
 use bytes::Bytes;
 use crosslane_coordination::program::Input;
-use crosslane_protocol::completion::{Completion, Form, Raw};
+use crosslane_protocol::completion::{Api, Completion, Raw};
 use crosslane_protocol::refusal::{self, Code, Refusal};
 use crosslane_state::hash;
 use crosslane_state::incarnation::Incarnation;
@@ -163,11 +163,11 @@
 
 fn target(shared: &Shared, head: &Parts, body: &Bytes) -> Result<Target, Refusal> {
     let path = head.uri.path();
-    if let Some(form) = Form::at(path) {
+    if let Some(form) = Api::from_path(path) {
         if head.method != hyper::Method::POST {
             return Err(Refusal::not_run(Code::NoRoute, "completions are asked for by POST"));
         }
-        let completion = Completion::try_from(Raw { form, body })
+        let completion = Completion::try_from(Raw { api: form, body })
             .map_err(|error| Refusal::not_run(Code::BadBody, error.to_string()))?;
         let known = |model: &str| shared.settings.runners.iter().any(|it| it.serves == model);
         if !known(&completion.model) {
@@ -226,7 +226,7 @@
     };
     if let Target::Model(completion) = target {
         input.model.clone_from(&completion.model);
-        input.prompt_tokens = completion.prompt_tokens().cast_signed();
+        input.prompt_tokens = completion.estimated_prompt_tokens().cast_signed();
         input.max_tokens = completion.max_tokens.cast_signed();
     }
     let policy = shared.policy();
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -7,7 +7,7 @@
 use crosslane_coordination::program::Program;
 use crosslane_coordination::record::Record;
 use crosslane_protocol::envelope::{self, Claims, Error, Raw};
-use crosslane_protocol::platform::{CLAIMS, CONTROL, Page};
+use crosslane_protocol::platform::{CLAIMS_STREAM, CONTROL_STREAM, Page};
 use log::{error, info, warn};
 use std::sync::Arc;
 use std::time::Duration;
@@ -66,7 +66,7 @@
 /// Reads one page; true when it reached the tail.
 async fn read_control(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
     let from = shared.keeper.visit(|node, _| node.state.next).await;
-    match shared.platform.read(CONTROL, from, wait).await {
+    match shared.platform.read(CONTROL_STREAM, from, wait).await {
         Ok(Read::Page(page)) => fold(shared, page).await,
         Ok(Read::Trimmed { first }) => {
             warn!(event = "log_trimmed", from = from, first = first; "looking for a checkpoint");
@@ -83,7 +83,8 @@
 async fn bridge(shared: &Arc<Shared>, first: u64) -> Result<bool, ()> {
     let mut from = first;
     loop {
-        let Ok(Read::Page(page)) = shared.platform.read(CONTROL, from, Duration::ZERO).await else {
+        let Ok(Read::Page(page)) = shared.platform.read(CONTROL_STREAM, from, Duration::ZERO).await
+        else {
             return Err(());
         };
         from += page.records.len() as u64;
@@ -109,12 +110,12 @@
         let offset = page.from + place as u64;
         match Record::try_from(Raw(text)) {
             Ok(record) => records.push((offset, Some(record))),
-            Err(Error::Torn { message }) => {
+            Err(Error::Malformed { message }) => {
                 shared.metrics.count(Counter::LogSkipped);
                 warn!(event = "record_skipped", offset = offset; "{message}");
                 records.push((offset, None));
             }
-            Err(Error::Newer { format }) => {
+            Err(Error::NewerFormat { format }) => {
                 error!(event = "record_newer", offset = offset, format = format; "upgrade this node");
                 shared.fence("newer_record");
                 return Err(());
@@ -184,7 +185,7 @@
 
 /// Appends a control record; true when the log confirmed it.
 pub async fn append(shared: &Shared, record: &Record) -> bool {
-    let appended = shared.platform.append(CONTROL, vec![envelope::write(record)]).await;
+    let appended = shared.platform.append(CONTROL_STREAM, vec![envelope::encode(record)]).await;
     if appended.is_err() {
         shared.metrics.count(Counter::LogFailed);
     }
@@ -193,7 +194,7 @@
 
 async fn read_claims(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
     let from = shared.claims.read_so_far();
-    match shared.platform.read(CLAIMS, from, wait).await {
+    match shared.platform.read(CLAIMS_STREAM, from, wait).await {
         Ok(Read::Page(page)) => {
             let next = page.from + page.records.len() as u64;
             let claims: Vec<Claims> =
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -6,7 +6,7 @@
 use crate::{call, forward, run};
 use crosslane_coordination::ledger;
 use crosslane_coordination::node::Node;
-use crosslane_protocol::peer::{Ending, PeerClient};
+use crosslane_protocol::peer::{IdempotencyRecord, PeerClient};
 use crosslane_protocol::refusal::Refusal;
 use crosslane_state::answer::Answer;
 use crosslane_state::hash;
@@ -121,7 +121,7 @@
     let Some(next) = next else {
         return;
     };
-    let ending = Ending { key: key.clone(), fingerprint, answer: Some(answer) };
+    let ending = IdempotencyRecord { key: key.clone(), fingerprint, answer: Some(answer) };
     let call =
         |client: PeerClient, context| async move { client.handover(context, vec![ending]).await };
     let _ = shared.peers.call(next.control, COPY, call).await;
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -89,7 +89,8 @@
         return Inquired::Free;
     };
     let (key, by) = (flow.key().clone(), shared.me);
-    let call = |client: PeerClient, context| async move { client.inquire(context, key, by).await };
+    let call =
+        |client: PeerClient, context| async move { client.release_key(context, key, by).await };
     match shared.peers.call(member.control, INQUIRE, call).await {
         Ok(true) => Inquired::Free,
         Ok(false) => Inquired::Known,
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -111,7 +111,8 @@
     let mut unreachable = Vec::new();
     for member in members {
         let asked = vm.to_owned();
-        let call = |client: PeerClient, context| async move { client.busy(context, asked).await };
+        let call =
+            |client: PeerClient, context| async move { client.in_progress(context, asked).await };
         match shared.peers.call(member.control, BUSY, call).await {
             Ok(count) => busy += count,
             Err(_) => unreachable.push(member.vm),
--- a/crates/transport/src/platform.rs
+++ b/crates/transport/src/platform.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform's log service and VM list.
 
 use crate::http::{Call, Client, Error};
-use crosslane_protocol::platform::{Append, Appended, List, Page};
+use crosslane_protocol::platform::{Append, Appended, Page, VmList};
 use hyper::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     }
 
     /// The platform's list of VMs.
-    pub async fn vms(&self) -> Result<List, Error> {
+    pub async fn vms(&self) -> Result<VmList, Error> {
         self.client.fetch_long(Call::new(Method::GET, self.vms, "/vms"), self.limit).await
     }
 }
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -6,8 +6,8 @@
 use crosslane_coordination::detector::Belief;
 use crosslane_coordination::node::Node;
 use crosslane_coordination::record::{Leave, Record};
-use crosslane_protocol::peer::{Beat, PeerClient, Snapshot};
-use crosslane_protocol::platform::{CLAIMS, State, Vm};
+use crosslane_protocol::peer::{Heartbeat, PeerClient, Snapshot};
+use crosslane_protocol::platform::{CLAIMS_STREAM, State, Vm};
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
 use log::{info, warn};
@@ -73,7 +73,9 @@
             continue;
         }
         let call = |client: PeerClient, context| async move { client.snapshot(context).await };
-        let Ok(Snapshot { state, guests }) = shared.peers.call(address, limit, call).await else {
+        let Ok(Snapshot { state, unlogged_members: guests }) =
+            shared.peers.call(address, limit, call).await
+        else {
             continue;
         };
         found = true;
@@ -102,7 +104,7 @@
 }
 
 /// What this node tells its neighbours.
-pub async fn beat(shared: &Arc<Shared>) -> Beat {
+pub async fn beat(shared: &Arc<Shared>) -> Heartbeat {
     let (from, version) = (shared.me, shared.policy().version);
     let young = shared.clock.now().0 < YOUNG_MILLIS;
     let newcomer = (young || !shared.is_member()).then(|| shared.member.clone());
@@ -113,19 +115,25 @@
             for (id, report) in &loads {
                 node.board.record_report(*id, *report, now);
             }
-            Beat { from, version, loads, leaves: node.told().cloned().collect(), newcomer }
+            Heartbeat {
+                sender: from,
+                version,
+                loads,
+                leaves: node.told().cloned().collect(),
+                new_member: newcomer,
+            }
         })
         .await
 }
 
 /// Takes in what a node told.
-pub async fn heard(shared: &Arc<Shared>, beat: Beat) {
+pub async fn heard(shared: &Arc<Shared>, beat: Heartbeat) {
     let news = move |node: &mut Node, now| {
-        if let Some(newcomer) = beat.newcomer {
+        if let Some(newcomer) = beat.new_member {
             node.welcome(newcomer, now);
         }
-        node.detector.heard(beat.from, now);
-        node.saw_version(beat.from, beat.version);
+        node.detector.heard(beat.sender, now);
+        node.saw_version(beat.sender, beat.version);
         for (id, report) in beat.loads {
             node.board.record_report(id, report, now);
         }
@@ -143,14 +151,14 @@
         return false;
     };
     let beat = beat(shared).await;
-    let call = |client: PeerClient, context| async move { client.beat(context, beat).await };
+    let call = |client: PeerClient, context| async move { client.heartbeat(context, beat).await };
     shared.peers.call(member.control, HEARS / 2, call).await.is_ok()
 }
 
 async fn exchange(shared: Arc<Shared>, neighbour: Member) {
     let beat = beat(&shared).await;
     let limit = Duration::from_millis(shared.settings.timing.suspect_millis / 2);
-    let call = |client: PeerClient, context| async move { client.beat(context, beat).await };
+    let call = |client: PeerClient, context| async move { client.heartbeat(context, beat).await };
     match shared.peers.call(neighbour.control, limit, call).await {
         Ok(answer) => heard(&shared, answer).await,
         Err(_) => shared.metrics.count(Counter::BeatFailed),
@@ -173,7 +181,7 @@
         let witnesses = shared.keeper.visit(witnesses).await;
         let asked = witnesses.iter().map(|witness| {
             let call = move |client: PeerClient, context| async move {
-                client.hears(context, suspect).await
+                client.probe(context, suspect).await
             };
             shared.peers.call(witness.control, HEARS, call)
         });
@@ -262,7 +270,7 @@
                 continue;
             }
             let call = move |client: PeerClient, context| async move {
-                client.copied_claims(context, departed).await
+                client.replicated_claims(context, departed).await
             };
             match shared.peers.call(holder.control, HEARS, call).await {
                 Ok(keys) => {
@@ -276,7 +284,7 @@
         }
         if complete {
             shared.keeper.visit(move |node, _| node.claims.settle(departed)).await;
-            info!(event = "settled", node:% = departed, stream = CLAIMS; "");
+            info!(event = "settled", node:% = departed, stream = CLAIMS_STREAM; "");
         }
     }
 }
--- a/crates/transport/src/render.rs
+++ b/crates/transport/src/render.rs
@@ -35,7 +35,7 @@
             let pieces = finished(shared, reader.whole().await)?;
             let text: Vec<u8> = pieces.concat();
             let text = String::from_utf8_lossy(&text);
-            http::json(200, &completion.whole(key.as_str(), &text, pieces.len() as u64))
+            http::json(200, &completion.full(key.as_str(), &text, pieces.len() as u64))
         }
         Target::Service(_) => {
             let pieces = finished(shared, reader.whole().await)?;
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -103,8 +103,9 @@
         return Grant::NotOwner;
     };
     let limit = Duration::from_millis(ask.patience + ask.lead) + OWNER_LOOK;
-    let call =
-        |client: PeerClient, context| async move { client.reserve(context, runner, ask).await };
+    let call = |client: PeerClient, context| async move {
+        client.reserve_slot(context, runner, ask).await
+    };
     tokio::select! {
         grant = shared.peers.call(member.control, limit, call) => grant.unwrap_or(Grant::NotOwner),
         () = silence(shared, owner) => Grant::NotOwner,
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -5,7 +5,7 @@
 use crate::peers::FRAME_BYTES;
 use crosslane_coordination::node::Node;
 use crosslane_coordination::slots::{Ask, Grant};
-use crosslane_protocol::peer::{Beat, Ending, Peer, Snapshot};
+use crosslane_protocol::peer::{Heartbeat, IdempotencyRecord, Peer, Snapshot};
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::request::Key;
@@ -46,40 +46,40 @@
 }
 
 impl Peer for Server {
-    async fn beat(self, _: Context, beat: Beat) -> Beat {
+    async fn heartbeat(self, _: Context, beat: Heartbeat) -> Heartbeat {
         crate::pulse::heard(&self.shared, beat).await;
         crate::pulse::beat(&self.shared).await
     }
 
-    async fn reserve(self, _: Context, runner: runner::Id, ask: Ask) -> Grant {
+    async fn reserve_slot(self, _: Context, runner: runner::Id, ask: Ask) -> Grant {
         self.shared.keeper.ask(runner, ask).await
     }
 
-    async fn release(self, _: Context, runner: runner::Id, attempt: attempt::Id) {
+    async fn release_slot(self, _: Context, runner: runner::Id, attempt: attempt::Id) {
         self.shared.keeper.release(runner, attempt);
     }
 
-    async fn wanted(self, _: Context, attempts: Vec<attempt::Id>) -> Vec<bool> {
+    async fn still_in_use(self, _: Context, attempts: Vec<attempt::Id>) -> Vec<bool> {
         self.shared.flights.wanted(&attempts)
     }
 
-    async fn inquire(self, _: Context, key: Key, by: Incarnation) -> bool {
+    async fn release_key(self, _: Context, key: Key, by: Incarnation) -> bool {
         self.shared.keeper.visit(move |node, now| node.ledger.release(&key, by, now)).await
     }
 
-    async fn hears(self, _: Context, node: Incarnation) -> bool {
+    async fn probe(self, _: Context, node: Incarnation) -> bool {
         crate::pulse::hears(&self.shared, node).await
     }
 
-    async fn copy_claims(self, _: Context, by: Incarnation, keys: Vec<u64>) -> bool {
+    async fn replicate_claims(self, _: Context, by: Incarnation, keys: Vec<u64>) -> bool {
         self.shared.claims.take_copies(&self.shared, by, keys).await
     }
 
-    async fn copied_claims(self, _: Context, by: Incarnation) -> Vec<u64> {
+    async fn replicated_claims(self, _: Context, by: Incarnation) -> Vec<u64> {
         self.shared.claims.copies_of(by)
     }
 
-    async fn handover(self, _: Context, endings: Vec<Ending>) {
+    async fn handover(self, _: Context, endings: Vec<IdempotencyRecord>) {
         let adopt = move |node: &mut Node, now| {
             for ending in endings {
                 let answer = ending.answer.map(Arc::new);
@@ -90,12 +90,14 @@
     }
 
     async fn snapshot(self, _: Context) -> Snapshot {
-        let known =
-            |node: &mut Node, _| Snapshot { state: node.state.clone(), guests: node.guests() };
+        let known = |node: &mut Node, _| Snapshot {
+            state: node.state.clone(),
+            unlogged_members: node.guests(),
+        };
         self.shared.keeper.visit(known).await
     }
 
-    async fn busy(self, _: Context, vm: String) -> u32 {
+    async fn in_progress(self, _: Context, vm: String) -> u32 {
         let own = vm == self.shared.settings.vm;
         let stopped = *self.shared.phase.borrow() == Phase::Stopped;
         let own = if own && !stopped { 1 + self.shared.in_progress() as u32 } else { 0 };
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -129,7 +129,7 @@
     }
 
     async fn attempt(&mut self, attempt: attempt::Id, holds: &mut Holds) -> Result<(), Failure> {
-        let tokens = self.job.completion.prompt_tokens() + self.splice.next();
+        let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next();
         let decode = self.take_decode(attempt, tokens, holds).await?;
         if tokens <= self.shared.settings.placement.local_prefill_tokens {
             self.shared.metrics.count(Counter::PrefillLocal);
@@ -239,7 +239,7 @@
             done: self.splice.next(),
             quick: self.job.verdict.class == Class::Quick,
         };
-        let expected = self.prefill_millis(completion.prompt_tokens());
+        let expected = self.prefill_millis(completion.estimated_prompt_tokens());
         let limit = Duration::from_millis(self.left().max(expected)) + PREFILL_GRACE;
         let ran = std::mem::replace(&mut holds.ran, true);
         let prefilled = self.engine(runner).prefill(&body, limit).await;
@@ -335,7 +335,7 @@
     ) -> Result<(), engine::Error> {
         loop {
             match stream.next().await? {
-                Line::Piece { offset, text } => match self.splice.piece(attempt, offset) {
+                Line::Token { offset, text } => match self.splice.piece(attempt, offset) {
                     Piece::Take => {
                         holds.unused_tokens = 0;
                         self.tape.push(Bytes::from(text));
@@ -343,7 +343,9 @@
                     Piece::Drop => {}
                     Piece::Gap => return Err(broken("pieces are missing")),
                 },
-                Line::End { total } if self.splice.end(attempt, total) => return Ok(()),
+                Line::End { total_tokens: total } if self.splice.end(attempt, total) => {
+                    return Ok(());
+                }
                 Line::End { .. } => return Err(broken("end mark too early")),
             }
         }
@@ -363,7 +365,7 @@
             Failure::Engine { runner, error } => (runner, error),
             other => return Err(self.refusal(&other)),
         };
-        let tokens = self.job.completion.prompt_tokens() + self.splice.next();
+        let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next();
         let asked = retry::Failure {
             ran: self.ran,
             repeatable: self.job.verdict.repeatable,
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/sweep.rs
@@ -67,8 +67,9 @@
         shared.keeper.release(runner, attempt);
         return;
     }
-    let call =
-        |client: PeerClient, context| async move { client.release(context, runner, attempt).await };
+    let call = |client: PeerClient, context| async move {
+        client.release_slot(context, runner, attempt).await
+    };
     if let Some(member) = shared.member(owner).await {
         let _ = shared.peers.call(member.control, WANTED, call).await;
     }
@@ -143,7 +144,8 @@
         Ok(shared.flights.wanted(&attempts))
     } else if let Some(member) = shared.member(origin).await {
         let asked = attempts.clone();
-        let call = |client: PeerClient, context| async move { client.wanted(context, asked).await };
+        let call =
+            |client: PeerClient, context| async move { client.still_in_use(context, asked).await };
         shared.peers.call(member.control, WANTED, call).await
     } else {
         return Vec::new();
