--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -42,7 +42,7 @@
     pub model: String,
     /// Prompt; for a chat, its messages joined by line feeds.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of output tokens.
     pub max_tokens: u64,
     /// Whether the response is streamed.
     pub stream: bool,
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -72,15 +72,15 @@
 /// Limits on callers and on responses to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's header.
+    /// Maximum size of a request's header, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Most concurrent connections.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
     /// Time within which a request's header, and then its body, must arrive, in milliseconds.
     pub read_millis: u64,
-    /// Most bytes of a service's response.
+    /// Maximum size of a service's response, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -100,7 +100,7 @@
     pub mode: Mode,
     /// Whether a request needs a slot granted by the runner's owner.
     pub reserve: bool,
-    /// Whether a slot may be granted before its predicted release.
+    /// Whether slots that are predicted to become free soon are granted in advance.
     pub ahead: bool,
     /// Longest prompt that the decode engine prefills itself, in tokens.
     pub local_prefill_tokens: u64,
--- a/crates/state/src/endpoint.rs
+++ b/crates/state/src/endpoint.rs
@@ -48,7 +48,7 @@
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Most requests that it runs concurrently.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Work that it does.
     pub stage: Stage,
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -68,7 +68,7 @@
         self.estimates.entry(id).or_default().sent_since_report += 1;
     }
 
-    /// Uncounts a request that the runner did not keep.
+    /// Uncounts a sent request: the runner refused it, or its call has ended.
     pub fn undo_sent(&mut self, id: Id) {
         let estimate = self.estimates.entry(id).or_default();
         estimate.sent_since_report = estimate.sent_since_report.saturating_sub(1);
--- a/crates/state/src/organisation.rs
+++ b/crates/state/src/organisation.rs
@@ -16,7 +16,7 @@
     /// Each request costs one.
     #[default]
     Requests,
-    /// A request costs its prompt tokens and the most tokens that it may generate.
+    /// A request costs its prompt tokens and its maximum number of output tokens.
     Tokens {
         /// Cost of a request that states no number of tokens.
         default_tokens: u32,
--- a/crates/state/src/route.rs
+++ b/crates/state/src/route.rs
@@ -33,7 +33,7 @@
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name.
@@ -50,7 +50,7 @@
     pub target_latency_ms: u64,
     /// Target for the longest gap between events of a stream, in milliseconds.
     pub target_gap_ms: u64,
-    /// Most endpoints to which one request is sent.
+    /// Maximum number of endpoints to which one request is sent.
     pub max_attempts: u32,
     /// Services that share its traffic.
     pub shares: Vec<Share>,
@@ -82,16 +82,16 @@
 pub struct Service {
     /// Properties of its engines, if it generates tokens.
     pub engine: Option<Engine>,
-    /// Most connections to one of its endpoints, from all nodes together; `None` if the configuration gives none.
+    /// Maximum number of connections to one of its endpoints, from all nodes together, if the configuration has one.
     pub max_connections: Option<u32>,
 }
 
 /// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request's header.
+    /// Maximum size of a request's header, in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
     /// Time within which a header must arrive, in milliseconds.
     pub header_timeout_ms: u64,
--- a/crates/state/src/runner.rs
+++ b/crates/state/src/runner.rs
@@ -58,7 +58,7 @@
     pub role: Role,
     /// Name of the model, or path prefix of a service.
     pub serves: String,
-    /// Most requests that it runs concurrently.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// KV cache capacity, in tokens.
     pub kv_tokens: u64,
