--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -38,7 +38,7 @@
     pub max_tokens: u64,
 }
 
-/// Response to `GET /export/ATTEMPT`; followed by padding of the size of the KV cache.
+/// Response to `GET /export/ATTEMPT`, which moves an attempt's KV cache to another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Export {
     /// Prompt that the KV cache belongs to.
--- a/crates/state/src/organisation.rs
+++ b/crates/state/src/organisation.rs
@@ -63,7 +63,7 @@
 /// Credential of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// None.
+    /// No credential.
     Absent,
     /// An API key, of which only the digest is kept.
     Key(Fingerprint),
