--- a/crates/state/src/attempt.rs
+++ b/crates/state/src/attempt.rs
@@ -1,21 +1,21 @@
-//! Attempts: one try of one request on engines.
+//! Attempts: a request and its retries each run on engines under an identifier of their own.
 
 use crate::incarnation::Incarnation;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Names an attempt everywhere, engines included; tells which node made it.
+/// Identifies an attempt on every node and engine, and names the node that made it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-#[display("{origin}-{sequence:x}-{round:x}")]
+#[display("{origin}-{sequence:x}-{retry_number:x}")]
 pub struct Id {
-    /// Node that runs the request.
+    /// Node that runs the request and made the attempt.
     pub origin: Incarnation,
-    /// Number of the request at that node.
+    /// Number of the request, counted by that node.
     pub sequence: u64,
-    /// Number of the try, from zero.
-    pub round: u16,
+    /// Number of retries before it, zero for the first attempt.
+    pub retry_number: u16,
 }
 
 impl Id {
@@ -24,12 +24,12 @@
         let mut parts = text.split('-');
         let origin = Incarnation::parse(parts.next()?)?;
         let sequence = u64::from_str_radix(parts.next()?, 16).ok()?;
-        let round = u16::from_str_radix(parts.next()?, 16).ok()?;
-        parts.next().is_none().then_some(Self { origin, sequence, round })
+        let retry_number = u16::from_str_radix(parts.next()?, 16).ok()?;
+        parts.next().is_none().then_some(Self { origin, sequence, retry_number })
     }
 
-    /// The same request's following try.
+    /// The next attempt of the same request.
     pub fn next(self) -> Self {
-        Self { round: self.round.saturating_add(1), ..self }
+        Self { retry_number: self.retry_number.saturating_add(1), ..self }
     }
 }
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -9,11 +9,11 @@
 use crate::{job, keyed, render};
 use bytes::Bytes;
 use crosslane_coordination::program::Input;
-use crosslane_protocol::completion::{Completion, Form, Raw};
+use crosslane_protocol::completion::{Api, Completion, Raw};
 use crosslane_protocol::refusal::{self, Code, Refusal};
 use crosslane_state::hash;
 use crosslane_state::incarnation::Incarnation;
-use crosslane_state::request::{Class, Key, Organisation, Outcome, Verdict};
+use crosslane_state::request::{Class, Decision, Key, Organisation, Outcome};
 use crosslane_state::runner::Role;
 use crosslane_state::time::Millis;
 use hyper::body::Incoming;
@@ -39,7 +39,7 @@
     /// What it asks for.
     pub target: Target,
     /// What the policy says of it.
-    pub verdict: Verdict,
+    pub verdict: Decision,
     /// On whose behalf.
     pub organisation: Organisation,
     /// When the first output is due.
@@ -163,11 +163,11 @@
 
 fn target(shared: &Shared, head: &Parts, body: &Bytes) -> Result<Target, Refusal> {
     let path = head.uri.path();
-    if let Some(form) = Form::at(path) {
+    if let Some(form) = Api::from_path(path) {
         if head.method != hyper::Method::POST {
             return Err(Refusal::not_run(Code::NoRoute, "completions are asked for by POST"));
         }
-        let completion = Completion::try_from(Raw { form, body })
+        let completion = Completion::try_from(Raw { api: form, body })
             .map_err(|error| Refusal::not_run(Code::BadBody, error.to_string()))?;
         let known = |model: &str| shared.settings.runners.iter().any(|it| it.serves == model);
         if !known(&completion.model) {
@@ -217,7 +217,7 @@
     head: &Parts,
     target: &Target,
     organisation: &str,
-) -> Result<Verdict, Refusal> {
+) -> Result<Decision, Refusal> {
     let mut input = Input {
         organisation: organisation.to_owned(),
         method: head.method.to_string(),
@@ -226,7 +226,7 @@
     };
     if let Target::Model(completion) = target {
         input.model.clone_from(&completion.model);
-        input.prompt_tokens = completion.prompt_tokens().cast_signed();
+        input.prompt_tokens = completion.estimated_prompt_tokens().cast_signed();
         input.max_tokens = completion.max_tokens.cast_signed();
     }
     let policy = shared.policy();
@@ -245,7 +245,7 @@
     let Some(raw) = asked.head.headers.get(KEY) else {
         shared.keeper.visit(|node, _| node.budget.fresh()).await;
         let sequence = shared.sequence();
-        let key = Key::mint(shared.me, sequence);
+        let key = Key::generate(shared.me, sequence);
         let tape = Arc::new(Tape::default());
         let reader = tape.reader();
         job::spawn(shared, &asked, job::Id { key: key.clone(), keyed: false }, sequence, tape);
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -6,7 +6,7 @@
 use crate::{call, forward, run};
 use crosslane_coordination::ledger;
 use crosslane_coordination::node::Node;
-use crosslane_protocol::peer::{Ending, PeerClient};
+use crosslane_protocol::peer::{IdempotencyRecord, PeerClient};
 use crosslane_protocol::refusal::Refusal;
 use crosslane_state::answer::Answer;
 use crosslane_state::hash;
@@ -21,7 +21,7 @@
 /// What makes two requests under one key the same.
 pub fn fingerprint(asked: &Asked) -> u64 {
     let head = format!("{} {}\n", asked.head.method, asked.head.uri);
-    hash::weight(hash::of(head.as_bytes()), hash::of(&asked.body))
+    hash::rendezvous_weight(hash::of(head.as_bytes()), hash::of(&asked.body))
 }
 
 /// The key of a run, and whether the ledger has it.
@@ -121,7 +121,7 @@
     let Some(next) = next else {
         return;
     };
-    let ending = Ending { key: key.clone(), fingerprint, answer: Some(answer) };
+    let ending = IdempotencyRecord { key: key.clone(), fingerprint, answer: Some(answer) };
     let call =
         |client: PeerClient, context| async move { client.handover(context, vec![ending]).await };
     let _ = shared.peers.call(next.control, COPY, call).await;
