--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -1,9 +1,9 @@
-//! Which engines still keep a prompt that a caller brings back.
+//! Prefix cache lookup: finds the engines that still cache the prompt of a resumed stream.
 //!
-//! Engines keep the KV cache of what they read until other requests need the room. A caller whose
-//! stream was cut with its node returns to another node, or to one that has forgotten everything, so
-//! the engines are asked. A prompt that is found is not read again: where all nodes were gone for a
-//! second, 111 prompt tokens were read twice in place of 29,700 (one play each).
+//! Engines keep the KV cache of prompts until other requests need the memory. A caller whose stream was cut
+//! by a node's failure retries at another node, or at one that has restarted without state, so the engines are asked. A
+//! cached prompt is not prefilled again: after an outage of all nodes for 1 s this reduces the prompt tokens that are
+//! prefilled twice from 29,700 to 111.
 
 use crate::event;
 use crate::node::Node;
@@ -15,20 +15,20 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Time for an engine's list, which usually takes 5 ms.
-const LIST_ANSWER: Duration = Duration::from_millis(90);
+/// Timeout of an engine's list, which usually takes 5 ms.
+const LIST_TIMEOUT: Duration = Duration::from_millis(90);
 
-/// Time that lists are used again, in milliseconds: callers return in numbers, and each list holds up an engine.
-const LIFE: u64 = 50;
+/// Time for which lists are reused: many callers retry at once, and each list delays the work of an engine.
+const LIST_TTL_MS: u64 = 50;
 
-/// Lists of one service's engines.
+/// Cached prompts of one service's engines.
 #[derive(Debug)]
 struct Listing {
-    at: Millis,
+    listed_at: Millis,
     engines: Vec<Engine>,
 }
 
-/// What one engine keeps.
+/// Cached prompts of one engine.
 #[derive(Debug)]
 struct Engine {
     key: Key,
@@ -36,49 +36,54 @@
     parts: HashSet<String>,
 }
 
-/// What engines keep, by service.
+/// Cached prompts by service.
 #[derive(Debug, Default)]
 pub struct Lists(tokio::sync::Mutex<HashMap<String, Listing>>);
 
-/// Engines that keep a prompt.
+/// Engines that cache a prompt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Keepers {
-    /// One that can generate from it.
+    /// Decode engine, which can generate from it.
     pub decoding: Option<Key>,
-    /// One that can hand it over.
+    /// Prefill engine, which can transfer it.
     pub prefilling: Option<Key>,
 }
 
-/// Finds the engines of a service that keep the last part of a request's prompt.
+/// Finds the engines of a service that cache the last part of a request's prompt.
 pub async fn find(node: &Node, service: &str, request: &str, part: &str) -> Keepers {
     let mut listings = node.lists.0.lock().await;
-    let fresh = listings.get(service).is_some_and(|it| node.now().since(it.at) < LIFE);
+    let fresh = listings
+        .get(service)
+        .is_some_and(|listing| node.now().since(listing.listed_at) < LIST_TTL_MS);
     if !fresh {
         let engines = list(node, service).await;
-        listings.insert(service.to_owned(), Listing { at: node.now(), engines });
+        listings.insert(service.to_owned(), Listing { listed_at: node.now(), engines });
     }
-    let engines = listings.get(service).map_or(&[][..], |it| &it.engines);
-    let keeper = |stage| {
-        let mut keeping = engines.iter().filter(|it| it.stage == stage && it.parts.contains(part));
-        keeping.next().map(|it| it.key)
+    let engines = listings.get(service).map_or(&[][..], |listing| &listing.engines);
+    let hit = |stage| {
+        let mut hits =
+            engines.iter().filter(|engine| engine.stage == stage && engine.parts.contains(part));
+        hits.next().map(|engine| engine.key)
     };
-    let keepers = Keepers { decoding: keeper(Stage::Decode), prefilling: keeper(Stage::Prefill) };
+    let hits = Keepers { decoding: hit(Stage::Decode), prefilling: hit(Stage::Prefill) };
     let (asked, decoding, prefilling) =
-        (engines.len(), keepers.decoding.is_some(), keepers.prefilling.is_some());
+        (engines.len(), hits.decoding.is_some(), hits.prefilling.is_some());
     info!(request, prompt = part, asked, decoding, prefilling; "{}", event::CACHED);
-    keepers
+    hits
 }
 
 async fn list(node: &Node, service: &str) -> Vec<Engine> {
     let mut engines = node.pool().keepers(service);
-    // A list holds up an engine's work; one that names a limit is in need.
+    // A list delays an engine's work, and engines that name a rate limit are overloaded.
     engines.retain(|(_, engine)| node.limits().rate(engine.tag()).is_none());
     let calls = engines.iter().map(|(_, engine)| {
-        node.control.call(engine.address, engine::list_parts(engine), LIST_ANSWER)
+        node.control.call(engine.address, engine::list_parts(engine), LIST_TIMEOUT)
     });
     let answers = join_all(calls).await;
     let listed = engines.into_iter().zip(answers).filter_map(|((key, engine), answer)| {
-        let answer = answer.inspect_err(|error| debug!("parts at {}: {error}", engine.id)).ok()?;
+        let answer = answer
+            .inspect_err(|error| debug!("list of cached prompts at {} failed: {error}", engine.id))
+            .ok()?;
         let parts = engine::parts(&answer.body)?;
         Some(Engine { key, stage: engine.stage, parts })
     });
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! Short calls to engines on kept connections: reservations, handles and orders.
+//! Client for short control calls to engines over pooled connections: reservations, handles and orders.
 
 use crate::kept::Kept;
 use bytes::Bytes;
@@ -9,66 +9,66 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time to open a connection: two ways of a few milliseconds, with room for one lost packet.
+/// Timeout to open a connection: a round trip of a few milliseconds, with room for one lost packet.
 pub const CONNECT: Duration = Duration::from_millis(250);
 
-/// Longest answer to a short call, in bytes.
-const ANSWER_BYTES: usize = 65_536;
+/// Longest response to a control call.
+const MAX_RESPONSE_BYTES: usize = 65_536;
 
-/// Rest after which a connection is not used again: endpoints close idle ones after seconds.
-const REST: Duration = Duration::from_millis(1_500);
+/// Idle time after which a connection is not reused: endpoints close idle ones after seconds.
+const MAX_IDLE: Duration = Duration::from_millis(1_500);
 
-/// Connections kept for each engine; calls are short and few at once.
-const KEPT: usize = 2;
+/// Idle connections kept for each engine; calls are short and few run at once.
+const MAX_IDLE_PER_ENGINE: usize = 2;
 
-/// An answer that was read whole.
+/// A response with its body read.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Body.
     pub body: Bytes,
 }
 
-/// Makes short calls.
+/// Makes control calls to engines.
 #[derive(Clone, Debug)]
 pub struct Control {
-    kept: Kept,
+    idle: Kept,
 }
 
 impl Default for Control {
     fn default() -> Self {
-        Self { kept: Kept::new(REST, KEPT) }
+        Self { idle: Kept::new(MAX_IDLE, MAX_IDLE_PER_ENGINE) }
     }
 }
 
 impl Control {
-    /// Makes a call and reads its answer.
+    /// Makes a call and reads the whole response.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Outgoing,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, Error> {
-        let until = Instant::now() + limit;
-        let mut connection = match self.kept.take(to) {
+        let until = Instant::now() + timeout;
+        let mut connection = match self.idle.take(to) {
             Some(connection) => connection,
-            None => Connection::open(to, CONNECT.min(limit)).await?,
+            None => Connection::open(to, CONNECT.min(timeout)).await?,
         };
         let response = connection.send(request, until).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = match timeout_at(until, body.collect()).await {
             Err(_) => return Err(Error::Timeout { to }),
             Ok(Err(error)) => return Err(Error::Broken { to, message: error.to_string() }),
             Ok(Ok(body)) => body.to_bytes(),
         };
-        self.kept.keep(to, connection);
+        self.idle.keep(to, connection);
         Ok(Answer { status, body })
     }
 
-    /// Closes connections that rested too long.
+    /// Closes connections that were idle for too long.
     pub fn tidy(&self) {
-        self.kept.tidy();
+        self.idle.tidy();
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request sent to one endpoint, and the answer's head.
+//! One attempt: sends a request to one endpoint and reads the head of the response.
 //!
-//! An attempt counts at its endpoint until its answer has been read or dropped. Dropping it closes
-//! the connection, which ends the run.
+//! An attempt counts towards the endpoint's load until its response has been read or dropped. Dropping the response
+//! closes the connection, which makes the endpoint abort the run.
 
 use crate::control::CONNECT;
 use crate::event;
@@ -31,35 +31,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A request with its body read.
+/// Request with its body read.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What its headers say.
+    /// Parsed headers.
     pub ask: Arc<Ask>,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// Body.
     pub body: Bytes,
-    /// When its head had arrived.
+    /// When the request head arrived.
     pub arrived: Instant,
-    /// When it must have ended: the caller's deadline or the route's timeout.
+    /// Deadline: the earlier of the caller's deadline and the route's timeout.
     pub deadline: Deadline,
-    /// Its fingerprint, once it was asked for.
+    /// Fingerprint, computed on first use.
     pub print: Arc<OnceLock<Fingerprint>>,
-    /// What it took of its organisation's limit.
+    /// Tokens taken from its organisation's rate limit.
     pub grant: Arc<Grant>,
 }
 
 impl Call {
-    /// Time left until its deadline.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.left()
     }
 
-    /// What a repetition has in common with it: path, caller and body. Ids and deadlines differ, and so do the
-    /// addresses by which a caller comes; it is known by its organisation, or by the credentials that it shows.
+    /// Hash of what a repeat of the request has in common with it: host, method, path, caller and body. Request ids,
+    /// deadlines and caller addresses differ between repeats, so the caller is identified by its organisation and credentials.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.print.get_or_init(|| self.digest())
     }
@@ -75,28 +75,28 @@
     }
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Failure {
-    /// It was not sent.
+    /// Not sent: no connection could be opened.
     #[display("unreachable")]
     Unsent,
-    /// The endpoint says that it did not run it.
+    /// The endpoint responded that it did not run the request.
     #[display("refused")]
     Refused,
-    /// It was not sent: the endpoint's limit has no room.
+    /// Not sent: the endpoint is at its rate limit.
     #[display("limited")]
     Limited,
-    /// It was sent, and no usable answer came.
+    /// Sent, but no usable response arrived.
     #[display("broken")]
     Broken,
-    /// It was sent, and the time ran out.
+    /// Sent, but the deadline passed.
     #[display("timeout")]
     Timeout,
-    /// It was not sent: endpoints ended under it, and another copy is being tried.
+    /// Not sent: endpoints crashed while running it, and another copy is being probed.
     #[display("on trial")]
     OnTrial,
-    /// It was not sent: too many endpoints ended under it.
+    /// Not sent: blocked, since too many endpoints crashed while running it.
     #[display("shut out")]
     ShutOut,
 }
@@ -107,39 +107,39 @@
         matches!(self, Self::Broken | Self::Timeout)
     }
 
-    /// Whether it reached an endpoint.
+    /// Whether the request reached an endpoint.
     pub fn sent(self) -> bool {
         matches!(self, Self::Refused | Self::Broken | Self::Timeout)
     }
 
-    /// Whether the request may not be sent to any endpoint now.
+    /// Whether quarantine keeps the request from every endpoint for now.
     pub fn barred(self) -> bool {
         matches!(self, Self::OnTrial | Self::ShutOut)
     }
 }
 
-/// A request's place at an endpoint; given up when dropped.
+/// A request in flight at an endpoint; released when dropped.
 #[derive(Debug)]
 pub struct Seat {
     node: Arc<Node>,
     /// Endpoint.
     pub key: Key,
     tokens: u32,
-    /// Load for which the endpoint was chosen, as a share of a full one.
+    /// Load of the endpoint when it was chosen, as a share of its capacity.
     load: f64,
-    /// What it took of the endpoint's limit, once it has.
+    /// Grant from the endpoint's rate limit, once acquired.
     permit: Option<Grant>,
 }
 
 impl Seat {
-    /// Counts a request with its tokens of KV cache at an endpoint that was chosen for its load.
+    /// Counts a request, with its KV cache tokens, at the chosen endpoint.
     pub fn take(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
         node.pool().enter(key, tokens);
         node.updated.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
 
-    /// Takes its part of the limit that the endpoint names, if it names one.
+    /// Acquires a permit from the endpoint's rate limit, if it has one.
     pub async fn admit(&mut self, request: &str) -> Result<(), Failure> {
         if self.permit.is_none() {
             self.permit = Some(limit::admit(&self.node, self.key, request).await?);
@@ -147,12 +147,12 @@
         Ok(())
     }
 
-    /// Goes on at an endpoint that has the run already: it is no new one there.
+    /// Skips the rate limit: the endpoint has the run already, so it is not a new request there.
     pub fn excuse(&mut self) {
         self.permit = Some(Grant::unlimited(&self.node));
     }
 
-    /// Notes how the request ended.
+    /// Records how the request ended at the endpoint.
     pub fn note(&self, outcome: Outcome) {
         self.node.pool().note(self.key, outcome, self.node.now());
     }
@@ -165,57 +165,57 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body is still to be read.
 #[derive(Debug)]
 pub struct Answer {
-    /// Head as it came.
+    /// Response head as received.
     pub parts: Parts,
-    /// What it says.
+    /// Parsed response headers.
     pub head: Head,
     /// Body.
     pub body: Incoming,
-    /// Endpoint that answers.
+    /// Endpoint that responded.
     pub endpoint: Endpoint,
-    /// When its head came: a run begins with its first token.
+    /// When the response head arrived: engines send it with the first token, so the run starts then.
     pub began: Millis,
     seat: Seat,
-    /// What the run shows of a request under which endpoints ended.
+    /// Probe run, if the request is suspected of crashing endpoints.
     trial: Option<Trial>,
-    /// Closed when dropped, unless the whole answer was read and it may rest.
+    /// Connection; closed on drop unless the whole response was read and the connection is reusable.
     connection: Option<Connection>,
-    /// Whether it may rest.
-    rests: bool,
+    /// Whether the connection may be reused.
+    reusable: bool,
 }
 
 impl Answer {
-    /// Notes how the request ended.
+    /// Records how the request ended at the endpoint.
     pub fn note(&self, outcome: Outcome) {
         self.seat.note(outcome);
     }
 
-    /// Ends what keeps other attempts of a suspect back: its run is over.
+    /// Ends the probe run, which holds back other attempts at a suspect request.
     pub fn rest(&mut self) {
         self.trial = None;
     }
 
-    /// Notes that the whole answer was made.
+    /// Records that the response is complete, and returns the connection for reuse.
     pub fn ended_well(&mut self) {
         if let Some(trial) = &mut self.trial {
             trial.well = true;
         }
-        if self.rests
+        if self.reusable
             && let Some(connection) = self.connection.take()
         {
             self.seat.node.idle.keep(self.endpoint.address, connection);
         }
     }
 
-    /// Place of the endpoint in the pool.
+    /// Endpoint's key in the pool.
     pub fn key(&self) -> Key {
         self.seat.key
     }
 
-    /// Reads a whole body of limited length.
+    /// Reads the whole body, up to a length limit.
     pub async fn read(
         mut self,
         call: &Call,
@@ -242,7 +242,7 @@
     }
 }
 
-/// Sends a call to an endpoint and waits for the answer's head.
+/// Sends a call to an endpoint and waits for the response head.
 pub async fn send(
     call: &Call,
     mut seat: Seat,
@@ -255,30 +255,30 @@
     };
     seat.admit(&call.ask.id).await?;
     let mut trial = quarantine::admit(&node, call, &endpoint, purpose).await?;
-    placed(&node, call, &seat, &endpoint, purpose);
+    log_placement(&node, call, &seat, &endpoint, purpose);
     let sent = node.now();
     let runs = !matches!(purpose, Purpose::Prefill);
-    // Before it is sent: whoever gives it up meanwhile does not know whether it runs.
-    let ran = runs && call.grant.sent();
-    let unsent = || {
-        if runs && !ran {
+    // Marked before sending: if the attempt is dropped meanwhile, whether the endpoint runs the request is unknown.
+    let sent_before = runs && call.grant.sent();
+    let mark_unsent = || {
+        if runs && !sent_before {
             call.grant.unsent();
         }
     };
-    seat.permit.iter().for_each(|it| {
-        it.sent();
+    seat.permit.iter().for_each(|permit| {
+        permit.sent();
     });
-    let attempt = attempt(&node, call, &endpoint, purpose, until).await;
-    let (connection, parts, body) = match attempt {
-        Ok(answered) => answered,
+    let result = connect_and_send(&node, call, &endpoint, purpose, until).await;
+    let (connection, parts, body) = match result {
+        Ok(received) => received,
         Err(error) => {
             let failure = Failure::from(&error);
             if !failure.may_have_run() {
-                unsent();
+                mark_unsent();
                 seat.permit.iter().for_each(Grant::unsent);
             }
             seat.note(outcome(&error));
-            told(call, &endpoint, failure, &error.to_string());
+            log_failure(call, &endpoint, failure, &error.to_string());
             if failure == Failure::Broken {
                 quarantine::judge(&node, call, &endpoint, sent).await;
             }
@@ -289,20 +289,20 @@
     if let Some(load) = head.load {
         node.pool().load(seat.key, load, node.now());
     }
-    // Whoever says that another one is meant names a limit of its own.
+    // A 421 comes from another incarnation at the same address, which names its own rate limit.
     if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
         limit::note(&node, &endpoint, &head.limit, sent);
     }
-    let failure = judge(&head, parts.status, purpose);
-    if let Some((failure, outcome)) = failure {
+    let rejection = reject(&head, parts.status, purpose);
+    if let Some((failure, outcome)) = rejection {
         if !failure.may_have_run() {
-            unsent();
+            mark_unsent();
         }
-        // An endpoint in need that refuses keeps to its limit; it is not to be avoided for that.
+        // An endpoint that names a rate limit refuses to enforce it; that is no reason to avoid it.
         if outcome != Outcome::Refused || node.limits().rate(endpoint.tag()).is_none() {
             seat.note(outcome);
         }
-        told(call, &endpoint, failure, &parts.status.to_string());
+        log_failure(call, &endpoint, failure, &parts.status.to_string());
         if failure == Failure::Refused && matches!(purpose, Purpose::Run) {
             node.idle.keep_after(endpoint.address, connection, body);
         }
@@ -314,13 +314,19 @@
         info!(request, to, status, outcome = "error"; "{}", event::ATTEMPT);
     }
     let began = node.now();
-    trial.iter_mut().for_each(|it| it.began = Some(began));
-    let (connection, rests) = (Some(connection), matches!(purpose, Purpose::Run));
-    Ok(Answer { parts, head, body, endpoint, began, seat, trial, connection, rests })
+    trial.iter_mut().for_each(|probe| probe.began = Some(began));
+    let (connection, reusable) = (Some(connection), matches!(purpose, Purpose::Run));
+    Ok(Answer { parts, head, body, endpoint, began, seat, trial, connection, reusable })
 }
 
-/// Tells where a request goes, and what decided it.
-fn placed(node: &Node, call: &Call, seat: &Seat, endpoint: &Endpoint, purpose: &Purpose<'_>) {
+/// Logs where a request is sent and the load behind the choice.
+fn log_placement(
+    node: &Node,
+    call: &Call,
+    seat: &Seat,
+    endpoint: &Endpoint,
+    purpose: &Purpose<'_>,
+) {
     let request = call.ask.id.as_str();
     let to = endpoint.id.as_str();
     let purpose = match purpose {
@@ -335,7 +341,7 @@
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
 }
 
-async fn attempt(
+async fn connect_and_send(
     node: &Node,
     call: &Call,
     endpoint: &Endpoint,
@@ -346,23 +352,23 @@
     while matches!(purpose, Purpose::Run)
         && let Some(connection) = node.idle.take(to)
     {
-        match over(connection, request(call, endpoint, purpose), until).await {
-            // It was closed while it rested.
+        match send_over(connection, build_request(call, endpoint, purpose), until).await {
+            // The endpoint closed the connection while it was idle.
             Err(error) if !error.sent() => continue,
             Err(error) => {
                 node.idle.forget(to);
                 return Err(error);
             }
-            answered => return answered,
+            received => return received,
         }
     }
     let connect = CONNECT.min(until.saturating_duration_since(Instant::now()));
     let connection = Connection::open(to, connect).await?;
-    over(connection, request(call, endpoint, purpose), until).await
+    send_over(connection, build_request(call, endpoint, purpose), until).await
 }
 
-/// Sends a request over a connection and waits for the answer's head.
-async fn over(
+/// Sends a request over an open connection and waits for the response head.
+async fn send_over(
     mut connection: Connection,
     request: Outgoing,
     until: Instant,
@@ -372,7 +378,7 @@
     Ok((connection, parts, body))
 }
 
-fn request(call: &Call, endpoint: &Endpoint, purpose: &Purpose<'_>) -> Outgoing {
+fn build_request(call: &Call, endpoint: &Endpoint, purpose: &Purpose<'_>) -> Outgoing {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
@@ -380,35 +386,35 @@
     request
 }
 
-/// Why an answer can't be used, if so, and what that says of the endpoint.
-fn judge(head: &Head, status: StatusCode, purpose: &Purpose<'_>) -> Option<(Failure, Outcome)> {
+/// Checks a response head; returns the failure and its outcome for the endpoint's health if it can't be used.
+fn reject(head: &Head, status: StatusCode, purpose: &Purpose<'_>) -> Option<(Failure, Outcome)> {
     let sealed = head.sealed || matches!(purpose, Purpose::Prefill);
     if !head.matches || !sealed || status.is_informational() {
         return Some((Failure::Broken, Outcome::Failed));
     }
-    head.refused.then(|| (Failure::Refused, refused(status, purpose)))
+    head.refused.then(|| (Failure::Refused, refusal_outcome(status, purpose)))
 }
 
-/// What a refusal says of the endpoint.
-fn refused(status: StatusCode, purpose: &Purpose<'_>) -> Outcome {
+/// Outcome of a refusal for the endpoint's health.
+fn refusal_outcome(status: StatusCode, purpose: &Purpose<'_>) -> Outcome {
     match purpose {
-        // Another incarnation answers at the address, or the engine has changed its stage.
+        // Another incarnation listens at the address, or the engine has changed its stage.
         _ if status == StatusCode::MISDIRECTED_REQUEST => Outcome::Down,
-        // It granted the memory: it is about to change its stage, or the KV cache to fetch is gone.
+        // The engine had granted the memory: it is about to change its stage, or the KV cache to fetch is gone.
         Purpose::Decode { hold: Some(_), source: None, .. } => Outcome::Down,
         Purpose::Decode { hold: Some(_), source: Some(_), .. } => Outcome::Failed,
         Purpose::Run | Purpose::Prefill | Purpose::Decode { .. } => Outcome::Refused,
     }
 }
 
-fn told(call: &Call, endpoint: &Endpoint, failure: Failure, why: &str) {
+fn log_failure(call: &Call, endpoint: &Endpoint, failure: Failure, why: &str) {
     let request = call.ask.id.as_str();
     let left_ms = call.left().as_millis() as u64;
     let to = endpoint.id.as_str();
     info!(request, to, failure:% = failure, why, left_ms; "{}", event::ATTEMPT);
 }
 
-/// What a failed connection says of the endpoint.
+/// Outcome of a connection error for the endpoint's health.
 pub fn outcome(error: &Error) -> Outcome {
     if error.sent() { Outcome::Failed } else { Outcome::Down }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,5 @@
-//! Connections of callers, from accept to the last answer.
+//! HTTP listeners: accepts caller connections, serves their requests and logs how each one ended; also serves
+//! readiness and metrics.
 
 use crate::event;
 use crate::exchange::Call;
@@ -30,26 +31,26 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::task::TaskTracker;
 
-/// The caller left before the end.
+/// Ending: the caller disconnected before the end.
 const CALLER_LEFT: &str = "caller_left";
 
-/// The whole answer was passed on.
+/// Ending: the whole response was sent.
 const ANSWERED: &str = "answered";
 
-/// The answer was broken off.
+/// Ending: the response was cut.
 const CUT: &str = "cut";
 
-/// Limits before a configuration is known.
-const UNCONFIGURED: Limits =
+/// Limits in force until a configuration is known.
+const DEFAULT_LIMITS: Limits =
     Limits { header_bytes: 16_384, body_bytes: 4 << 20, header_millis: 3_000, idle_millis: 15_000 };
 
-/// Smallest buffer that hyper takes, in bytes.
-const LEAST_BUFFER: usize = 8_192;
+/// Smallest buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Pause after a failed accept: descriptors may be short.
+/// Pause after a failed accept: the process may be out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts callers for good; their connections are tracked.
+/// Accepts caller connections forever; `connections` tracks their tasks.
 pub async fn run(node: Arc<Node>, listener: TcpListener, connections: TaskTracker) {
     loop {
         match listener.accept().await {
@@ -57,7 +58,7 @@
                 connections.spawn(serve(node.clone(), stream, from.ip()));
             }
             Err(error) => {
-                debug!("accept: {error}");
+                debug!("accept failed: {error}");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -66,9 +67,9 @@
 
 async fn serve(node: Arc<Node>, stream: TcpStream, caller: IpAddr) {
     if let Err(error) = connection::prepare(&stream) {
-        debug!("options of a caller's connection: {error}");
+        debug!("can't set the options of a caller's connection: {error}");
     }
-    let limits = node.table().map_or(UNCONFIGURED, |it| it.limits);
+    let limits = node.table().map_or(DEFAULT_LIMITS, |table| table.limits);
     let mut stop = node.stopping.subscribe();
     let stopping = stop.borrow_and_update().is_some();
     let service = service_fn({
@@ -82,7 +83,7 @@
         .keep_alive(!stopping)
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_millis))
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
@@ -93,43 +94,43 @@
         }
     };
     if let Err(error) = ended {
-        debug!("a caller's connection ended: {error}");
+        debug!("caller's connection failed: {error}");
     }
 }
 
 async fn handle(node: Arc<Node>, request: Request<Incoming>, caller: IpAddr) -> Response<Reply> {
     let arrived = Instant::now();
-    let asked = Ask::try_from(request.headers());
-    let id = asked.as_ref().ok().map(|it| it.id.clone());
-    let mut story = Story::new(node.clone(), id.clone(), caller, arrived);
-    let answered = match asked {
-        Ok(ask) => answer_to(&node, request, ask, &mut story).await,
+    let parsed = Ask::try_from(request.headers());
+    let id = parsed.as_ref().ok().map(|ask| ask.id.clone());
+    let mut entry = LogEntry::new(node.clone(), id.clone(), caller, arrived);
+    let result = match parsed {
+        Ok(ask) => serve_request(&node, request, ask, &mut entry).await,
         Err(_) => Err(Reason::NoId.into()),
     };
-    let mut response = match answered {
+    let mut response = match result {
         Ok(response) => response,
         Err(refusal) => {
             node.meter.refused(refusal.reason);
-            story.ending = refusal.reason.name();
+            entry.ending = refusal.reason.name();
             refusal.answer(id.as_deref())
         }
     };
     if node.stopping.borrow().is_some() {
         answer::close(response.headers_mut());
     }
-    story.status = response.status();
-    story.left = answer::length(response.headers());
-    if response.body().is_end_stream() && story.ending == CALLER_LEFT {
-        story.ending = ANSWERED;
+    entry.status = response.status();
+    entry.bytes_left = answer::length(response.headers());
+    if response.body().is_end_stream() && entry.ending == CALLER_LEFT {
+        entry.ending = ANSWERED;
     }
-    response.map(|body| Reply::new(Told { body, story }))
+    response.map(|body| Reply::new(LoggedBody { body, entry }))
 }
 
-async fn answer_to(
+async fn serve_request(
     node: &Arc<Node>,
     request: Request<Incoming>,
     mut ask: Ask,
-    story: &mut Story,
+    entry: &mut LogEntry,
 ) -> Result<Response<Reply>, Refusal> {
     let Some(mut table) = node.table() else {
         return Err(Refusal::later(Reason::NotReady, COME_BACK));
@@ -137,25 +138,26 @@
     if !node.caught_up() {
         return Err(Refusal::later(Reason::NotReady, COME_BACK));
     }
-    let arrived = story.arrived;
+    let arrived = entry.arrived;
     let (head, body) = request.into_parts();
-    if allowed(&table, &ask, head.uri.path()).is_err() {
+    if authorize(&table, &ask, head.uri.path()).is_err() {
         table = node.newer_table(table).await;
     }
-    story.version = table.version;
-    let (route, organisation) = allowed(&table, &ask, head.uri.path())?;
-    story.route.clone_from(&route.name);
+    entry.version = table.version;
+    let (route, organisation) = authorize(&table, &ask, head.uri.path())?;
+    entry.route.clone_from(&route.name);
     if table.organisations.is_some() {
-        ask.identify(organisation.map(|it| it.name.as_str()));
-        story.organisation.clone_from(&ask.organisation);
+        ask.identify(organisation.map(|known| known.name.as_str()));
+        entry.organisation.clone_from(&ask.organisation);
     }
-    let held = Duration::from_millis(route.timeout);
-    let deadline = node.clock.deadline(ask.patience.map_or(held, |it| it.min(held)));
-    let body = read(body, table.limits, deadline.left()).await?;
-    let service = share(route, &ask.id);
+    let timeout = Duration::from_millis(route.timeout);
+    let deadline =
+        node.clock.deadline(ask.patience.map_or(timeout, |patience| patience.min(timeout)));
+    let body = read_body(body, table.limits, deadline.left()).await?;
+    let service = choose_service(route, &ask.id);
     stopping::check(node, route, service, deadline.left())?;
     node.count_request(service);
-    story.open = Some(node.begin(service));
+    entry.open = Some(node.begin(service));
     let mut parts = hyper::http::uri::Parts::default();
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
@@ -163,8 +165,8 @@
     let grant = quota::take(node, organisation, ask.tokens(), &ask.id).await?;
     let (ask, print, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
     let call = Call { ask, method, uri, body, arrived, deadline, print, grant };
-    quarantine::check(node, &call).map_err(|it| quarantine::refusal(node, &call, it))?;
-    let engine = table.services.get(service).and_then(|it| it.engine);
+    quarantine::check(node, &call).map_err(|failure| quarantine::refusal(node, &call, failure))?;
+    let engine = table.services.get(service).and_then(|config| config.engine);
     match (route.kind, engine) {
         (Kind::Stream { .. }, Some(engine)) => {
             let run = stream::Run::new(node.clone(), route.clone(), service.into(), engine, call);
@@ -174,8 +176,8 @@
     }
 }
 
-/// The route that a request takes, and whose it is.
-fn allowed<'a>(
+/// Matches a request to its route and authenticates its organisation.
+fn authorize<'a>(
     table: &'a Table,
     ask: &Ask,
     path: &str,
@@ -185,29 +187,29 @@
     Ok((route, organisation))
 }
 
-async fn read(body: Incoming, limits: Limits, left: Duration) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limits: Limits, left: Duration) -> Result<Bytes, Refusal> {
     http::read(body, limits.body_bytes, left).await.map_err(|error| match error {
         ReadError::TooLong => Reason::TooLong.into(),
         ReadError::Incomplete => Refusal::later(Reason::Incomplete, COME_BACK),
     })
 }
 
-/// The service that a request falls to, by the weights of its route.
-fn share<'a>(route: &'a Route, id: &str) -> &'a str {
-    let total: u64 = route.shares.iter().map(|it| u64::from(it.weight)).sum();
-    let mut place = hash::of(id.as_bytes()) % total.max(1);
+/// Service that serves a request, chosen by a hash of the request id and the weights of the route.
+fn choose_service<'a>(route: &'a Route, id: &str) -> &'a str {
+    let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
+    let mut point = hash::of(id.as_bytes()) % total.max(1);
     for share in &route.shares {
         let weight = u64::from(share.weight);
-        if place < weight {
+        if point < weight {
             return &share.service;
         }
-        place -= weight;
+        point -= weight;
     }
-    route.shares.first().map_or("", |it| &it.service)
+    route.shares.first().map_or("", |share| &share.service)
 }
 
-/// What is told of a request when it ends.
-struct Story {
+/// Log line of a request, written when it is dropped.
+struct LogEntry {
     node: Arc<Node>,
     id: Option<String>,
     route: String,
@@ -217,25 +219,25 @@
     arrived: Instant,
     status: StatusCode,
     ending: &'static str,
-    /// What it counts for among the requests under way, once its service is known.
+    /// Entry among the requests in flight, once the service is known.
     open: Option<Open>,
-    /// When the last piece of the answer was passed on.
-    piece: Option<Instant>,
-    /// Time from the request's arrival to the first piece.
+    /// When the last frame of the response was sent.
+    last_frame: Option<Instant>,
+    /// Time from the request's arrival to the first frame.
     first: Duration,
-    /// Longest time between two pieces.
+    /// Longest time between two frames.
     gap: Duration,
-    /// Bytes of the answer that are still to be passed on, if its length is known.
-    left: Option<u64>,
+    /// Bytes of the response still to be sent, if its length is known.
+    bytes_left: Option<u64>,
 }
 
-impl Story {
+impl LogEntry {
     fn new(node: Arc<Node>, id: Option<String>, caller: IpAddr, arrived: Instant) -> Self {
         let route = String::new();
-        // Unless it gets to an answer or a refusal, the caller left before.
+        // If nothing else is recorded, the caller disconnected before there was a response or a refusal.
         let (status, ending) = (StatusCode::OK, CALLER_LEFT);
-        let (piece, first, gap) = (None, Duration::ZERO, Duration::ZERO);
-        let left = None;
+        let (last_frame, first, gap) = (None, Duration::ZERO, Duration::ZERO);
+        let bytes_left = None;
         let (organisation, version, open) = (None, 0, None);
         Self {
             node,
@@ -248,25 +250,25 @@
             status,
             ending,
             open,
-            piece,
+            last_frame,
             first,
             gap,
-            left,
+            bytes_left,
         }
     }
 
-    /// Notes that a piece of the answer was passed on.
-    fn passed(&mut self, bytes: usize) {
+    /// Records that a frame of the response was sent.
+    fn frame_sent(&mut self, bytes: usize) {
         let now = Instant::now();
-        self.left = self.left.map(|it| it.saturating_sub(bytes as u64));
-        match self.piece.replace(now) {
+        self.bytes_left = self.bytes_left.map(|left| left.saturating_sub(bytes as u64));
+        match self.last_frame.replace(now) {
             None => self.first = now - self.arrived,
             Some(before) => self.gap = self.gap.max(now - before),
         }
     }
 }
 
-impl Drop for Story {
+impl Drop for LogEntry {
     fn drop(&mut self) {
         self.node.meter.ending(self.ending);
         if let Some(open) = self.open.take() {
@@ -276,7 +278,7 @@
         let status = self.status.as_u16();
         let took_ms = self.arrived.elapsed().as_millis() as u64;
         if self.ending != ANSWERED {
-            self.gap = self.gap.max(self.piece.map_or(Duration::ZERO, |it| it.elapsed()));
+            self.gap = self.gap.max(self.last_frame.map_or(Duration::ZERO, |at| at.elapsed()));
         }
         let first_ms = self.first.as_millis() as u64;
         let gap_ms = self.gap.as_millis() as u64;
@@ -287,13 +289,13 @@
     }
 }
 
-/// A body that tells how its request ended.
-struct Told {
+/// Response body that records in the log entry how the request ended.
+struct LoggedBody {
     body: Reply,
-    story: Story,
+    entry: LogEntry,
 }
 
-impl Body for Told {
+impl Body for LoggedBody {
     type Data = Bytes;
     type Error = http::BodyError;
 
@@ -303,14 +305,15 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(context));
         if let Some(Ok(frame)) = &frame {
-            self.story.passed(frame.data_ref().map_or(0, Bytes::len));
+            self.entry.frame_sent(frame.data_ref().map_or(0, Bytes::len));
         }
-        // Nobody asks for more once a known length is reached.
-        let ended = frame.is_none() || self.body.is_end_stream() || self.story.left == Some(0);
-        if self.story.ending == CALLER_LEFT {
+        // hyper stops polling once a known length is reached.
+        let ended =
+            frame.is_none() || self.body.is_end_stream() || self.entry.bytes_left == Some(0);
+        if self.entry.ending == CALLER_LEFT {
             match &frame {
-                Some(Err(_)) => self.story.ending = CUT,
-                _ if ended => self.story.ending = ANSWERED,
+                Some(Err(_)) => self.entry.ending = CUT,
+                _ if ended => self.entry.ending = ANSWERED,
                 _ => {}
             }
         }
@@ -326,7 +329,7 @@
     }
 }
 
-/// Answers whether callers may be sent here, and with metrics under their path.
+/// Serves the metrics under their path, and readiness under every other path.
 pub async fn status(node: Arc<Node>, listener: TcpListener, metrics: &'static str) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -336,21 +339,21 @@
         let node = node.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let response = tell(&node, request.uri().path(), metrics);
+                let response = status_response(&node, request.uri().path(), metrics);
                 async move { Ok::<_, Infallible>(response) }
             });
             let served = http1::Builder::new()
-                .max_buf_size(LEAST_BUFFER)
+                .max_buf_size(MIN_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                debug!("a status connection ended: {error}");
+                debug!("status connection failed: {error}");
             }
         });
     }
 }
 
-fn tell(node: &Node, path: &str, metrics: &str) -> Response<Reply> {
+fn status_response(node: &Node, path: &str, metrics: &str) -> Response<Reply> {
     let (status, body) = match path {
         path if path == metrics => match node.meter.text() {
             Ok(text) => (StatusCode::OK, Bytes::from(text)),
--- a/crates/gateway/src/hold.rs
+++ b/crates/gateway/src/hold.rs
@@ -1,6 +1,6 @@
-//! What a request holds at engines before its run: reserved memory, and KV cache to be fetched.
+//! Resources that a request owns at engines before its run: reserved memory and prefilled KV cache.
 //!
-//! Both are given back when dropped before their use, on every way out.
+//! Both are released when dropped unused, on every path.
 
 use crate::exchange::Seat;
 use crate::node::Node;
@@ -12,24 +12,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for the answer to a release.
-const RELEASE_ANSWER: Duration = Duration::from_millis(800);
+/// Timeout of a release.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Memory reserved at a decoding engine; released when dropped before its use.
+/// Memory reserved at a decode engine; released when dropped unused.
 #[derive(Debug)]
 pub struct Hold {
     node: Arc<Node>,
     engine: Endpoint,
-    /// Place of the engine in the pool.
+    /// Engine's key in the pool.
     pub key: Key,
-    /// Its name at the engine, until it was used.
+    /// Reservation's id at the engine; `None` once used.
     pub id: Option<String>,
-    /// Place of the request at the engine, until it was used.
+    /// The request in flight at the engine; `None` once used.
     pub seat: Option<Seat>,
 }
 
 impl Hold {
-    /// A reservation that an engine granted.
+    /// Wraps a reservation that an engine granted.
     pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, seat: Seat) -> Self {
         Self { node: node.clone(), engine, key: seat.key, id: Some(id), seat: Some(seat) }
     }
@@ -43,22 +43,22 @@
     }
 }
 
-/// KV cache kept at a prefilling engine; freed when dropped before its use.
+/// KV cache of a prompt at a prefill engine; freed when dropped unused.
 #[derive(Debug)]
 pub struct Handle {
     node: Arc<Node>,
     engine: Endpoint,
-    /// Its name at the engine, until it was used.
+    /// Handle's id at the engine; `None` once used.
     pub id: Option<String>,
 }
 
 impl Handle {
-    /// A handle that an engine gave.
+    /// Wraps a handle that an engine returned.
     pub fn new(node: &Arc<Node>, engine: Endpoint, id: String) -> Self {
         Self { node: node.clone(), engine, id: Some(id) }
     }
 
-    /// Engine's address and the handle's name, as another engine needs them.
+    /// Engine's address and the handle's id, with which another engine fetches the KV cache.
     pub fn source(&self) -> Option<(SocketAddr, &str)> {
         Some((self.engine.address, self.id.as_deref()?))
     }
@@ -72,13 +72,13 @@
     }
 }
 
-/// Makes a call that gives something back; what is lost lapses at the engine by itself.
+/// Sends a release in the background. If it is lost, the resource expires at the engine.
 fn release(node: &Arc<Node>, engine: &Endpoint, request: Outgoing) {
     let control = node.control.clone();
     let to = engine.address;
     tokio::spawn(async move {
-        if let Err(error) = control.call(to, request, RELEASE_ANSWER).await {
-            debug!("release at {to}: {error}");
+        if let Err(error) = control.call(to, request, RELEASE_TIMEOUT).await {
+            debug!("release at {to} failed: {error}");
         }
     });
 }
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints that rest between two requests.
+//! Idle connections to endpoints, pooled for reuse.
 //!
-//! An endpoint resets connections over its cap, and any new one while its queue is long; on one that answered before, it says
-//! that it did not run the request.
+//! An endpoint resets connections above its cap, and every new connection while its queue is long. On a reused connection it
+//! responds instead that it did not run the request.
 
 use crate::node::lock;
 use crosslane_transport::connection::Connection;
@@ -13,72 +13,74 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest answer that is read only to keep its connection, in bytes, and time for it.
-const UNREAD_BYTES: usize = 4_096;
-const UNREAD: Duration = Duration::from_millis(250);
+/// Limits within which an unneeded response is read so that its connection can be reused.
+const MAX_DRAIN_BYTES: usize = 4_096;
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Connections that rest, by endpoint.
+/// Idle connections by endpoint.
 #[derive(Clone, Debug)]
 pub struct Kept {
     connections: Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>,
-    /// Rest after which one is not used again: endpoints close idle ones after seconds.
-    rest: Duration,
-    /// Connections kept for each endpoint.
-    most: usize,
+    /// Idle time after which a connection is not reused: endpoints close idle ones after seconds.
+    max_idle: Duration,
+    /// Idle connections kept for each endpoint.
+    max_per_endpoint: usize,
 }
 
 impl Kept {
-    /// Keeps so many for each endpoint, for so long.
-    pub fn new(rest: Duration, most: usize) -> Self {
-        Self { connections: Arc::default(), rest, most }
+    /// An empty pool.
+    pub fn new(max_idle: Duration, max_per_endpoint: usize) -> Self {
+        Self { connections: Arc::default(), max_idle, max_per_endpoint }
     }
 
-    /// Takes the one to an endpoint that was used last.
+    /// Takes the most recently used connection to an endpoint.
     pub fn take(&self, to: SocketAddr) -> Option<Connection> {
-        let mut kept = lock(&self.connections);
-        let connections = kept.get_mut(&to)?;
-        connections.retain(|it| it.fresh(self.rest));
+        let mut idle = lock(&self.connections);
+        let connections = idle.get_mut(&to)?;
+        connections.retain(|connection| connection.fresh(self.max_idle));
         connections.pop()
     }
 
-    /// Keeps a connection once its last answer has been read.
+    /// Returns a connection once its last response has been read.
     pub fn keep(&self, to: SocketAddr, mut connection: Connection) {
-        let kept = self.clone();
+        let pool = self.clone();
         tokio::spawn(async move {
             if connection.reusable().await {
-                kept.put(to, connection);
+                pool.put(to, connection);
             }
         });
     }
 
-    /// Keeps a connection once the rest of its last answer has come, which nobody needs.
+    /// Returns a connection once the unneeded body of its last response has been read.
     pub fn keep_after(&self, to: SocketAddr, connection: Connection, body: Incoming) {
-        let kept = self.clone();
+        let pool = self.clone();
         tokio::spawn(async move {
-            let rest = Limited::new(body, UNREAD_BYTES).collect();
-            if matches!(timeout(UNREAD, rest).await, Ok(Ok(_))) {
-                kept.keep(to, connection);
+            let drained = Limited::new(body, MAX_DRAIN_BYTES).collect();
+            if matches!(timeout(DRAIN_TIMEOUT, drained).await, Ok(Ok(_))) {
+                pool.keep(to, connection);
             }
         });
     }
 
     fn put(&self, to: SocketAddr, connection: Connection) {
-        let mut kept = lock(&self.connections);
-        let connections = kept.entry(to).or_default();
-        if connections.len() < self.most {
+        let mut idle = lock(&self.connections);
+        let connections = idle.entry(to).or_default();
+        if connections.len() < self.max_per_endpoint {
             connections.push(connection);
         }
     }
 
-    /// Closes all to an endpoint: what broke one may have broken them.
+    /// Closes all idle connections to an endpoint: what broke one may have broken the others.
     pub fn forget(&self, to: SocketAddr) {
         lock(&self.connections).remove(&to);
     }
 
-    /// Closes those that rested too long.
+    /// Closes connections that were idle for too long.
     pub fn tidy(&self) {
-        let mut kept = lock(&self.connections);
-        kept.values_mut().for_each(|it| it.retain(|one| one.fresh(self.rest)));
-        kept.retain(|_, it| !it.is_empty());
+        let mut idle = lock(&self.connections);
+        idle.values_mut().for_each(|connections| {
+            connections.retain(|connection| connection.fresh(self.max_idle));
+        });
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,15 @@
-//! The node that serves a site through the platform.
+//! The router node of a site, built on the platform's store and engines.
 //!
-//! `front` takes callers' requests; `plain` and `stream` carry them to endpoints by `exchange`, with
-//! memory from `reserve` and what engines keep from `cache`, over connections of their own or `kept` ones; `watch` looks
-//! after those whose endpoint is silent, `stopping` says what a node takes that stops.
-//! `limit` keeps to the rate limits that endpoints name, `quota` to those of organisations.
-//! `quarantine` keeps requests that make endpoints crash away from them, `rulings` keeps what was decided about these in the
-//! store, `pause` notices that the machine was suspended.
-//! `follower` reads the store into the `mirror`, `peers` and `pull` keep nodes at the same view, the
-//! `directory` reads endpoints from it, `duty` gives orders to engines. Decisions are made in the coordination layer.
+//! Request path: `front` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`. `reserve`
+//! reserves decode memory, `cache` finds cached prompts, `kept` pools idle connections, `watch` detects stalled endpoints and
+//! `relay` passes streams on. `stopping` decides which requests a node accepts during its shutdown.
+//!
+//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` blocks requests
+//! that crash endpoints, and `rulings` stores these decisions.
+//!
+//! State: `follower` replicates the store into the `mirror`, `peers` and `pull` synchronise it between nodes, and `directory`
+//! decodes endpoints from it. `duty` assigns stages to engines, and `pause` detects that the VM was suspended. Decisions are
+//! made in the coordination crate.
 
 pub mod cache;
 pub mod control;
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text in the usual exposition format.
+//! Metrics: counters, gauges and latency histograms in the Prometheus text format.
 
 use crate::refusal::{REASONS, Reason};
 use prometheus::{
@@ -8,34 +8,34 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Upper bounds of the histograms' buckets, in seconds: around the sites' targets of 0.3 and 0.9 s.
-const BUCKETS: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.9, 2.0, 5.0];
+/// Upper bounds of the histogram buckets, denser around the usual latency targets of 0.3 and 0.9 s.
+const BUCKETS_S: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.9, 2.0, 5.0];
 
-/// Log lines that this process dropped since nobody read them; its appender counts them.
+/// Log lines that this process dropped because its log output was not read; counted by the log appender.
 pub static LINES_DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Why a request was sent again.
+/// Why a request was retried, or why a retry was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// No connection.
+    /// The endpoint could not be reached.
     Unreachable,
-    /// The endpoint's limit had no room.
+    /// The endpoint was at its rate limit.
     Limited,
-    /// The endpoint said that it did not run it.
+    /// The endpoint refused the request without running it.
     Refused,
     /// The endpoint broke off.
     Broken,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint responded with a server error.
     Error,
-    /// A stream was continued elsewhere.
+    /// A stream was resumed at another engine.
     Resumed,
-    /// Denied: the budget is spent.
+    /// Denied: the retry budget is exhausted.
     DeniedBudget,
-    /// Denied: endpoints ended under the request.
+    /// Denied: the request is quarantined.
     Barred,
 }
 
-/// Every retry reason with its name.
+/// Every retry reason with its metric label, in the order of `Retry`.
 pub const RETRIES: [(Retry, &str); 8] = [
     (Retry::Unreachable, "unreachable"),
     (Retry::Limited, "limited"),
@@ -55,41 +55,41 @@
     refusals: IntCounterVec,
     retries: IntCounterVec,
     store_errors: IntCounterVec,
-    /// Pulls from other nodes that failed.
+    /// Failed pulls from other nodes.
     pub pull_failures: IntCounter,
-    /// Endpoints' records that name no endpoint to use.
+    /// Endpoint records that were skipped as unusable.
     pub skipped_records: IntCounter,
-    /// Endpoints that ended right after they had begun to run a request.
+    /// Endpoints that crashed right after they started to run a request.
     pub strikes: IntCounter,
-    /// Times that an endpoint fell silent within an attempt.
+    /// Endpoints that stalled during an attempt.
     pub silences: IntCounter,
-    /// Endpoints that name a limit for all nodes together.
+    /// Endpoints that name a rate limit.
     pub limited: IntGauge,
-    /// Requests that are shut out.
+    /// Blocked requests.
     pub shut_out: IntGauge,
-    /// Bytes of the store's records handed to other nodes.
+    /// Bytes of store records sent to other nodes.
     pub told_bytes: IntCounter,
-    /// Time of a pull from another node.
+    /// Duration of a pull from another node.
     pub pull: Histogram,
-    /// Time to the first byte or event.
+    /// Time from the arrival of a request to the first byte or event of its response.
     pub first: Histogram,
-    /// Time until memory was reserved at an engine.
+    /// Time from the arrival of a request until memory was reserved at an engine.
     pub wait: Histogram,
-    /// Time of a prefill.
+    /// Duration of a prefill.
     pub prefill: Histogram,
-    /// Pauses between events.
+    /// Gaps between events.
     pub gap: Histogram,
     /// Version of the configuration in force.
     pub version: IntGauge,
-    /// Endpoints known.
+    /// Known endpoints.
     pub endpoints: IntGauge,
-    /// Other nodes heard.
+    /// Other live nodes.
     pub peers: IntGauge,
     lines_dropped: IntGauge,
 }
 
 impl Meter {
-    /// Metrics that start from zero.
+    /// Registers all metrics, starting from zero.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| {
@@ -98,7 +98,7 @@
             Ok::<_, prometheus::Error>(counters)
         };
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKETS_S.to_vec());
             let histogram = Histogram::with_opts(options)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok::<_, prometheus::Error>(histogram)
@@ -138,7 +138,7 @@
         })
     }
 
-    /// Counts a request's ending.
+    /// Counts a request by its ending.
     pub fn ending(&self, ending: &str) {
         self.requests.with_label_values(&[ending]).inc();
     }
@@ -148,7 +148,7 @@
         self.refusals.with_label_values(&[REASONS[reason as usize].1]).inc();
     }
 
-    /// Counts a retry, or one denied.
+    /// Counts a retry or a denied retry.
     pub fn retried(&self, retry: Retry) {
         self.retries.with_label_values(&[RETRIES[retry as usize].1]).inc();
     }
@@ -158,12 +158,12 @@
         self.store_errors.with_label_values(&[topic]).inc();
     }
 
-    /// Notes a time in a histogram.
+    /// Adds a duration to a histogram.
     pub fn time(histogram: &Histogram, time: Duration) {
         histogram.observe(time.as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> Result<Vec<u8>> {
         let dropped = LINES_DROPPED.load(Ordering::Relaxed);
         self.lines_dropped.set(dropped.cast_signed());
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to plain services: ordinary requests and responses, without prefill and decode.
 
 use crate::event;
 use crate::exchange::{self, Answer, Call, Failure, Seat};
@@ -27,48 +27,49 @@
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// Answers up to this length are read whole before they are passed on if the request is
-/// idempotent, so that one that breaks off can be asked for again. Pages are about 1 KB.
-const WHOLE_BYTES: u64 = 65_536;
+/// Responses up to this length are buffered before they are passed on if the request is safe, so that one that breaks
+/// off can be retried. Usual responses are about 1 KB.
+const MAX_BUFFERED_BYTES: u64 = 65_536;
 
-/// Share of the target after which an idempotent request is tried elsewhere: leaves time for a
-/// usual run at the other endpoint.
-const PATIENCE: f64 = 0.6;
+/// Share of the latency target after which a safe request is retried at another endpoint: the rest is enough for
+/// a usual run there.
+const STALL_SHARE: f64 = 0.6;
 
-/// Pauses of which that patience is made: with one alone, a standstill of this node would count as the endpoint's.
-const PAUSES: u32 = 2;
+/// Intervals into which that time is divided: with a single one, a stall of this node would count as one of the endpoint.
+const STALL_INTERVALS: u32 = 2;
 
-/// When a refused caller should come back: plain calls last some 60 ms, bursts seconds.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// Retry-After of a refused caller: plain calls last some 60 ms, bursts of load some seconds.
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Carries a call to an endpoint of a service and back.
+/// Sends a call to endpoints of a service until one responds, and returns the response.
 pub async fn run(
     node: &Arc<Node>,
     route: &Route,
     service: &str,
     call: &Call,
 ) -> Result<Response<Reply>, Refusal> {
-    let mut tries = Tries { node, route, service, call, tried: Vec::new(), sent: 0, next: None };
-    // Once an attempt may have run, a later refusal does not make the request one that has not.
-    let mut ran = false;
-    let mut last = Reason::NoEndpoint;
-    let mut kept: Option<Response<Reply>> = None;
-    while let Some(place) = tries.next() {
-        match tries.attempt(place).await {
+    let mut attempts =
+        Attempts { node, route, service, call, tried: Vec::new(), sent: 0, failover: None };
+    // Once an attempt may have run the request, a later refusal does not undo that.
+    let mut may_have_run = false;
+    let mut reason = Reason::NoEndpoint;
+    let mut error_response: Option<Response<Reply>> = None;
+    while let Some(place) = attempts.next() {
+        match attempts.attempt(place).await {
             Ok(Attempt::Final(response)) => return Ok(response),
             Ok(Attempt::Error(response)) => {
-                tries.sent += 1;
-                kept = Some(response);
+                attempts.sent += 1;
+                error_response = Some(response);
                 node.meter.retried(Retry::Error);
             }
             Err(failure) => {
-                ran |= failure.may_have_run();
-                if failure.may_have_run() || !ran {
-                    last = failure.into();
+                may_have_run |= failure.may_have_run();
+                if failure.may_have_run() || !may_have_run {
+                    reason = failure.into();
                 }
-                tries.sent += u32::from(failure.sent());
+                attempts.sent += u32::from(failure.sent());
                 if failure.may_have_run() && !route.kind.idempotent() {
-                    return Err(last.into());
+                    return Err(reason.into());
                 }
                 node.meter.retried(failure.into());
                 if failure.barred() {
@@ -76,23 +77,23 @@
                 }
             }
         }
-        if tries.sent >= route.attempts || call.left().is_zero() {
+        if attempts.sent >= route.attempts || call.left().is_zero() {
             break;
         }
     }
-    kept.ok_or_else(|| refusal(node, service, last))
+    error_response.ok_or_else(|| refusal(node, service, reason))
 }
 
-/// An endpoint's answer.
+/// Response of an endpoint.
 enum Attempt {
-    /// To be passed on.
+    /// Passed on to the caller.
     Final(Response<Reply>),
-    /// An error of the endpoint's own, for which another may have a better answer.
+    /// Server error; another endpoint may respond better.
     Error(Response<Reply>),
 }
 
-/// Attempts at a call, one after the other.
-struct Tries<'a> {
+/// Successive attempts at a call.
+struct Attempts<'a> {
     node: &'a Arc<Node>,
     route: &'a Route,
     service: &'a str,
@@ -100,14 +101,14 @@
     tried: Vec<Key>,
     /// Attempts that reached an endpoint.
     sent: u32,
-    /// Endpoint for the next attempt, with its repeat taken from the budget: the one before fell silent.
-    next: Option<(Key, f64)>,
+    /// Endpoint chosen for the next attempt after a stall; its retry has been taken from the budget.
+    failover: Option<(Key, f64)>,
 }
 
-impl Tries<'_> {
-    /// The endpoint for the next attempt, if there is one and it may be made.
+impl Attempts<'_> {
+    /// Chooses the endpoint for the next attempt, if there is one and a retry is allowed.
     fn next(&mut self) -> Option<(Key, f64)> {
-        let place = match self.next.take() {
+        let place = match self.failover.take() {
             Some(place) => place,
             None => self.choose(self.sent > 0)?,
         };
@@ -115,53 +116,56 @@
         Some(place)
     }
 
-    /// The best endpoint that was not tried, with a repeat from the budget if it takes one.
-    fn choose(&self, repeats: bool) -> Option<(Key, f64)> {
+    /// Chooses the best untried endpoint; a retry is taken from the budget.
+    fn choose(&self, retries: bool) -> Option<(Key, f64)> {
         let (service, except) = (self.service, self.tried.as_slice());
         let connections = self.node.connections(service);
         let stage = Stage::Plain;
         let query = Query { service, stage, capacity: 0, connections, room: None, except };
         let place = self.node.pool().choose(query, self.node.now())?;
-        if repeats && !self.node.take_repeat(service) {
+        if retries && !self.node.take_repeat(service) {
             self.node.meter.retried(Retry::DeniedBudget);
             return None;
         }
         Some(place)
     }
 
-    fn last(&self) -> bool {
+    /// Whether the next attempt is the last one.
+    fn is_last(&self) -> bool {
         self.sent + 1 >= self.route.attempts
     }
 
     async fn attempt(&mut self, place: (Key, f64)) -> Result<Attempt, Failure> {
-        let attempt = attempt(self.node, self.route, self.call, place, self.last());
-        if self.last() || self.route.kind != Kind::Safe {
+        let attempt = send_once(self.node, self.route, self.call, place, self.is_last());
+        if self.is_last() || self.route.kind != Kind::Safe {
             return attempt.await;
         }
         match self.unless_silent(place.0, attempt).await {
             Ok(attempted) => attempted,
-            Err(next) => {
-                self.next = Some(next);
+            Err(failover) => {
+                self.failover = Some(failover);
                 Err(Failure::Timeout)
             }
         }
     }
 
-    /// Waits for an endpoint. A silent one is given up only for another one: it may merely be slow, and without
-    /// another its answer is the only one that can come.
+    /// Waits for an endpoint. A stalled endpoint is abandoned only if there is another one: it may merely be slow, and
+    /// otherwise only its response can still arrive.
     async fn unless_silent<T>(
         &self,
         at: Key,
         attempt: impl Future<Output = T>,
     ) -> Result<T, (Key, f64)> {
-        let patience = self.route.target as f64 * PATIENCE;
-        let pause = Duration::from_millis((patience / f64::from(PAUSES)) as u64);
-        let watch = Watch { node: self.node, call: self.call, at, pauses: (PAUSES, pause) };
+        let stall_ms = self.route.target as f64 * STALL_SHARE;
+        let interval = Duration::from_millis((stall_ms / f64::from(STALL_INTERVALS)) as u64);
+        let watch =
+            Watch { node: self.node, call: self.call, at, pauses: (STALL_INTERVALS, interval) };
         watch::unless_silent(watch, attempt, || ready(self.choose(true))).await
     }
 }
 
-async fn attempt(
+/// Makes one attempt, and buffers a short response to a safe request.
+async fn send_once(
     node: &Arc<Node>,
     route: &Route,
     call: &Call,
@@ -174,28 +178,28 @@
     Meter::time(&node.meter.first, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.note(if error { Outcome::Error } else { Outcome::Good });
-    let short = answer.head.length.is_some_and(|it| it <= WHOLE_BYTES);
+    let short = answer.head.length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
     if route.kind != Kind::Safe || !short {
         return Ok(Attempt::Final(relay(node, answer, call)));
     }
-    let (parts, body) = answer.read(call, WHOLE_BYTES as usize, until).await?;
-    let response = whole(parts, body);
+    let (parts, body) = answer.read(call, MAX_BUFFERED_BYTES as usize, until).await?;
+    let response = buffered(parts, body);
     Ok(if error && !last { Attempt::Error(response) } else { Attempt::Final(response) })
 }
 
-fn whole(parts: Parts, body: Bytes) -> Response<Reply> {
+fn buffered(parts: Parts, body: Bytes) -> Response<Reply> {
     let mut response = Response::new(http::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = answer::headers(&parts.headers);
     response
 }
 
-/// Passes an answer on as it comes; it is broken off if the time runs out.
+/// Streams a response to the caller; cut at the deadline.
 pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<Reply> {
     let status = answer.parts.status;
     let headers = answer::headers(&answer.parts.headers);
-    let begun = Some((node.clone(), answer, call.clone()));
-    let frames = futures::stream::unfold(begun, move |state| async move {
+    let initial = Some((node.clone(), answer, call.clone()));
+    let frames = futures::stream::unfold(initial, move |state| async move {
         let (node, mut answer, call) = state?;
         let error: http::BodyError =
             match timeout_at(call.deadline.instant(), answer.body.frame()).await {
@@ -204,7 +208,7 @@
                     return None;
                 }
                 Ok(Some(Ok(frame))) => {
-                    // Nobody asks for more once a known length is reached.
+                    // hyper stops polling once a known length is reached.
                     if answer.body.is_end_stream() {
                         answer.ended_well();
                     }
@@ -226,13 +230,12 @@
     response
 }
 
-/// Says when to come back if the request has not run.
+/// Refusal after the last attempt; with a Retry-After if the request has not run.
 fn refusal(node: &Node, service: &str, reason: Reason) -> Refusal {
     match reason {
         Reason::Broken | Reason::Timeout => reason.into(),
-        Reason::NoEndpoint | Reason::Limited => {
-            limit::refusal(node, service, Stage::Plain).unwrap_or(Refusal::later(reason, COME_BACK))
-        }
-        _ => Refusal::later(reason, COME_BACK),
+        Reason::NoEndpoint | Reason::Limited => limit::refusal(node, service, Stage::Plain)
+            .unwrap_or(Refusal::later(reason, RETRY_AFTER)),
+        _ => Refusal::later(reason, RETRY_AFTER),
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of crosslane's own, when an endpoint's can't be had.
+//! Error responses that the node makes itself when no endpoint can serve a request.
 
 use crate::node::Reply;
 use crosslane_coordination::identity::Denial;
@@ -7,50 +7,50 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// When a caller should come back whom this node can't serve for now: a restart takes about as long.
+/// Retry-After of a caller that this node can't serve for now: about as long as a restart takes.
 pub const COME_BACK: Duration = Duration::from_millis(300);
 
-/// Why a request was not answered by an endpoint.
+/// Why a request got no response from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The request carries no id.
+    /// The request has no id.
     NoId,
-    /// No route for host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLong,
-    /// The body did not arrive in time.
+    /// The body did not arrive before the deadline.
     Incomplete,
     /// This node has no configuration yet.
     NotReady,
     /// This node is stopping.
     Stopping,
-    /// No endpoint of the service is known.
+    /// No endpoint of the service can be reached.
     NoEndpoint,
-    /// No room within the time that leaves the answer on time.
+    /// No decode memory became free while the response could still be on time.
     NoRoom,
-    /// Endpoints refused it, and the retry budget is spent or no attempt is left.
+    /// Endpoints refused the request, and the retry budget is exhausted or no attempt is left.
     Refused,
-    /// It was sent, and the endpoint broke off.
+    /// The request was sent, and the endpoint broke off.
     Broken,
-    /// It was sent, and the time ran out.
+    /// The request was sent, and the deadline passed.
     Timeout,
-    /// Endpoints ended under it, and another copy is being tried.
+    /// Endpoints crashed while running the request, and another copy is being probed.
     OnTrial,
-    /// Too many endpoints ended under it.
+    /// The request is blocked, since too many endpoints crashed while running it.
     ShutOut,
-    /// The caller shows no key.
+    /// The caller sent no API key.
     NoKey,
-    /// No organisation has the caller's key.
+    /// The API key belongs to no organisation.
     UnknownKey,
-    /// The caller's organisation is over its limit.
+    /// The caller's organisation is over its rate limit.
     OverQuota,
-    /// The limits of all endpoints that could serve it have no room.
+    /// All endpoints that could serve the request are at their rate limits.
     Limited,
 }
 
-/// Every reason with its name and its status. Where the status is 408, 429 or 503 the request has
-/// not run.
+/// Every reason with its name and HTTP status, in the order of `Reason`. With status 408, 429 or 503 the request
+/// has not run.
 pub const REASONS: [(Reason, &str, StatusCode); 17] = [
     (Reason::NoId, "no_id", StatusCode::BAD_REQUEST),
     (Reason::NoRoute, "no_route", StatusCode::NOT_FOUND),
@@ -72,23 +72,23 @@
 ];
 
 impl Reason {
-    /// Name in logs and metrics.
+    /// Name in logs, metrics and the response body.
     pub fn name(self) -> &'static str {
         REASONS[self as usize].1
     }
 
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> StatusCode {
         REASONS[self as usize].2
     }
 }
 
-/// A reason, and when to come back.
+/// A reason with an optional Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Reason.
     pub reason: Reason,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -108,12 +108,12 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that has not run, with the time after which to come back.
+    /// A refusal of a request that has not run, with a Retry-After.
     pub fn later(reason: Reason, wait: Duration) -> Self {
         Self { reason, retry_after: Some(wait) }
     }
 
-    /// The answer that tells it.
+    /// Response to the caller.
     pub fn answer(self, id: Option<&str>) -> Response<Reply> {
         let mut response = Response::new(http::full(self.reason.name()));
         *response.status_mut() = self.reason.status();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,8 +1,7 @@
-//! Passes a stream of events on, over moves and breaks of the engines that make them.
+//! Relays a stream of events to the caller while its run moves between engines.
 //!
-//! Only whole events are passed on. A run at an engine that leaves is moved to another with its memory;
-//! one that breaks off is continued at another if its route allows, and else is cut for the caller
-//! too.
+//! Only whole events are relayed. If an engine is leaving, its run is moved to another engine together with its KV cache.
+//! If a run breaks off, the stream is resumed at another engine if its route allows, and is cut otherwise.
 
 use crate::event;
 use crate::events::Events;
@@ -26,51 +25,58 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time after an engine's announcement that it leaves before its runs are moved: short ones end by
-/// themselves, and it serves for 2 s at least.
-const MOVE_AFTER: Duration = Duration::from_millis(1_000);
+/// Time from an engine's announced departure until its runs are moved: short runs end by themselves, and the engine
+/// goes on serving for at least 2 s.
+const MOVE_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Pause before a move is tried again, when other engines have no room.
-const MOVE_PAUSE: Duration = Duration::from_millis(300);
+/// Interval between attempts to move a run, when other engines have no room.
+const MOVE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Moves tried for a run: those that fit into the time for which a leaving engine serves.
-const MOVES: u32 = 4;
+/// Attempts to move a run: as many as fit into the time for which a leaving engine serves.
+const MAX_MOVES: u32 = 4;
 
-/// Time for a move: 100 MB over the engines' links take some 10 ms, behind other moves.
-const MOVE_ANSWER: Duration = Duration::from_millis(600);
+/// Timeout of a move: 100 MB over the engines' links take some 10 ms, queued behind other moves.
+const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Passes events on.
+/// Relays the events of one stream.
 pub struct Relay {
     run: Run,
     answer: Option<Answer>,
     events: Events,
-    /// When the run is to be moved away from an engine that leaves.
+    /// When to move the run away from a leaving engine.
     move_at: Option<Instant>,
-    /// Moves that may still be tried.
-    moves: u32,
-    /// Why the stream is to be cut.
+    /// Remaining attempts to move the run.
+    moves_left: u32,
+    /// Error with which to cut the stream.
     broken: Option<&'static str>,
 }
 
-/// What came of a stream.
-enum Piece {
+/// Next part of an engine's response.
+enum Chunk {
     Data(Bytes),
     End,
     Broken(&'static str),
-    /// The engine is silent, and all that the next attempt needs is there.
-    Silent(Box<Spare>),
+    /// The engine stalled, and the next attempt is prepared.
+    Stalled(Box<Spare>),
 }
 
 type Item = (Result<Frame<Bytes>, BodyError>, Relay);
 
 impl Relay {
-    /// Passes an engine's answer to a run on.
+    /// Starts to relay an engine's response.
     pub fn new(run: Run, answer: Answer) -> Self {
         let events = Events::default();
-        Self { run, answer: Some(answer), events, move_at: None, moves: MOVES, broken: None }
+        Self {
+            run,
+            answer: Some(answer),
+            events,
+            move_at: None,
+            moves_left: MAX_MOVES,
+            broken: None,
+        }
     }
 
-    /// The stream as the caller gets it.
+    /// Response body for the caller.
     pub fn body(self) -> Reply {
         BoxBody::new(StreamBody::new(futures::stream::unfold(self, Self::next)))
     }
@@ -80,62 +86,62 @@
             if let Some(why) = self.broken.take() {
                 return Some((Err(why.into()), self));
             }
-            // Only after the error that cut it is a stream without an answer.
+            // A stream has no response only after it was cut by an error.
             self.answer.as_ref()?;
             if self.must_move() {
-                match self.hand_over().await {
-                    Some(whole) => return Some((Ok(Frame::data(whole)), self)),
+                match self.move_run().await {
+                    Some(events) => return Some((Ok(Frame::data(events)), self)),
                     None => continue,
                 }
             }
-            match self.piece().await {
-                Piece::Data(bytes) => {
-                    if let Some(whole) = self.events.push(&bytes) {
-                        return Some((Ok(Frame::data(whole)), self));
+            match self.next_chunk().await {
+                Chunk::Data(bytes) => {
+                    if let Some(events) = self.events.push(&bytes) {
+                        return Some((Ok(Frame::data(events)), self));
                     }
                 }
-                Piece::End => {
-                    self.note(Outcome::Good);
+                Chunk::End => {
+                    self.record_outcome(Outcome::Good);
                     self.answer.iter_mut().for_each(Answer::ended_well);
                     return None;
                 }
-                Piece::Silent(spare) => {
+                Chunk::Stalled(spare) => {
                     self.run.keep_spare(*spare);
-                    self.go_on_after("engine silent").await;
+                    self.fail_over("engine silent").await;
                 }
-                Piece::Broken(why) => {
-                    self.note(Outcome::Failed);
-                    self.go_on_after(why).await;
+                Chunk::Broken(why) => {
+                    self.record_outcome(Outcome::Failed);
+                    self.fail_over(why).await;
                 }
             }
         }
     }
 
-    /// Gives an engine up, and continues the stream elsewhere; else it is to be cut.
-    async fn go_on_after(&mut self, why: &'static str) {
-        self.judge().await;
+    /// Abandons an engine and resumes the stream at another one, or marks the stream to be cut.
+    async fn fail_over(&mut self, why: &'static str) {
+        self.drop_broken().await;
         if !self.resume(why).await {
             self.broken = Some(why);
         }
     }
 
-    fn note(&self, outcome: Outcome) {
+    fn record_outcome(&self, outcome: Outcome) {
         if let Some(answer) = &self.answer {
             answer.note(outcome);
         }
     }
 
-    /// Gives an answer up that broke off, and finds out whether its engine ended under the request.
-    async fn judge(&mut self) {
+    /// Drops a response that broke off, and checks whether its engine crashed while running the request.
+    async fn drop_broken(&mut self) {
         if let Some(Answer { endpoint, began, .. }) = self.answer.take() {
             let Run { node, call, .. } = &self.run;
             quarantine::judge(node, call, &endpoint, began).await;
         }
     }
 
-    async fn piece(&mut self) -> Piece {
+    async fn next_chunk(&mut self) -> Chunk {
         let Some(answer) = &mut self.answer else {
-            return Piece::Broken("no engine");
+            return Chunk::Broken("no engine");
         };
         let (at, sent, began) = (answer.key(), self.run.sent, Instant::now());
         let until = self.run.call.deadline.instant();
@@ -143,49 +149,50 @@
         let frame = self.run.unless_silent(at, sent, frame).await;
         Meter::time(&self.run.node.meter.gap, began.elapsed());
         match frame {
-            Err(spare) => Piece::Silent(Box::new(spare)),
-            Ok(Err(_)) => Piece::Broken("time ran out"),
-            Ok(Ok(Some(Ok(frame)))) => Piece::Data(frame.into_data().unwrap_or_default()),
-            Ok(Ok(Some(Err(_)))) => Piece::Broken("engine broke off"),
-            Ok(Ok(None)) if self.events.partial() => Piece::Broken("engine ended within an event"),
-            Ok(Ok(None)) => Piece::End,
+            Err(spare) => Chunk::Stalled(Box::new(spare)),
+            Ok(Err(_)) => Chunk::Broken("time ran out"),
+            Ok(Ok(Some(Ok(frame)))) => Chunk::Data(frame.into_data().unwrap_or_default()),
+            Ok(Ok(Some(Err(_)))) => Chunk::Broken("engine broke off"),
+            Ok(Ok(None)) if self.events.partial() => Chunk::Broken("engine ended within an event"),
+            Ok(Ok(None)) => Chunk::End,
         }
     }
 
-    /// Whether the engine has been leaving for so long that the run is to go on elsewhere.
+    /// Whether the engine is leaving and `MOVE_DELAY`, or the interval since the last attempt, has passed.
     fn must_move(&mut self) -> bool {
         let Some(key) = self.answer.as_ref().map(Answer::key) else {
             return false;
         };
-        if self.moves == 0 || self.run.node.pool().usable(key) {
+        if self.moves_left == 0 || self.run.node.pool().usable(key) {
             return false;
         }
         let now = Instant::now();
-        now >= *self.move_at.get_or_insert(now + MOVE_AFTER)
+        now >= *self.move_at.get_or_insert(now + MOVE_DELAY)
     }
 
-    /// Moves the run with its memory to another engine. Returns events that came meanwhile.
-    async fn hand_over(&mut self) -> Option<Bytes> {
-        self.moves -= 1;
-        self.move_at = Some(Instant::now() + MOVE_PAUSE);
-        let (source, key) = self.answer.as_ref().map(|it| (it.endpoint.clone(), it.key()))?;
+    /// Moves the run with its KV cache to another engine. Returns events that arrived meanwhile.
+    async fn move_run(&mut self) -> Option<Bytes> {
+        self.moves_left -= 1;
+        self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
+        let (source, key) =
+            self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
         let place = self.run.decoder(FULL, &[key])?;
         let target = self.run.node.pool().get(place.0).cloned()?;
         let mut seat = Seat::take(&self.run.node, place, self.run.tokens());
-        // Before the run is stopped: it must be able to go on there.
+        // Before the run is stopped, since the target's rate limit must have room for it.
         seat.admit(&self.run.call.ask.id).await.ok()?;
         if !self.run.node.take_repeat(&self.run.service) {
             return None;
         }
         let request = engine::move_run(&source, &self.run.call.ask.id, target.address);
         let control = self.run.node.control.clone();
-        let answer = control.call(source.address, request, MOVE_ANSWER).await;
+        let answer = control.call(source.address, request, MOVE_TIMEOUT).await;
         let outcome = match &answer {
             Ok(answer) => engine::moved(answer.status, &answer.body),
             Err(_) => Move::Refused,
         };
-        self.told_move(&source, &target, &outcome);
-        // Where it was stopped its memory is kept until it goes on: one that the other engine refuses is not lost.
+        self.log_move(&source, &target, &outcome);
+        // The source keeps the KV cache of the stopped run until it continues, so a run that the target refuses is not lost.
         let mut stopped = Seat::take(&self.run.node, (key, 0.0), self.run.tokens());
         stopped.excuse();
         let (handle, seats) = match outcome {
@@ -194,31 +201,31 @@
             Move::Ended | Move::Refused => return None,
         };
         self.move_at = None;
-        let rest = self.drain().await;
-        self.go_on(&source, &handle, seats).await;
-        rest
+        let drained = self.drain().await;
+        self.continue_run(&source, &handle, seats).await;
+        drained
     }
 
-    fn told_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
+    fn log_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
         let (request, from, to) = (self.run.call.ask.id.as_str(), from.id.as_str(), to.id.as_str());
         info!(request, from, to, outcome:? = outcome; "{}", event::MOVE);
     }
 
-    /// Reads what a stopped run had still sent.
+    /// Reads the events that a stopped run had already sent.
     async fn drain(&mut self) -> Option<Bytes> {
         let answer = self.answer.as_mut()?;
-        let until = Instant::now() + MOVE_ANSWER;
-        let mut rest = BytesMut::new();
+        let until = Instant::now() + MOVE_TIMEOUT;
+        let mut drained = BytesMut::new();
         while let Ok(Some(Ok(frame))) = timeout_at(until, answer.body.frame()).await {
             let bytes = frame.into_data().unwrap_or_default();
-            rest.extend(self.events.push(&bytes).into_iter().flatten());
+            drained.extend(self.events.push(&bytes).into_iter().flatten());
         }
         self.events.discard();
-        (!rest.is_empty()).then(|| rest.freeze())
+        (!drained.is_empty()).then(|| drained.freeze())
     }
 
-    /// Lets a stopped run go on from its memory, at the first of some engines that does not refuse it.
-    async fn go_on(&mut self, source: &Endpoint, handle: &str, seats: Vec<Seat>) {
+    /// Continues a stopped run from its KV cache, at the first engine that does not refuse it.
+    async fn continue_run(&mut self, source: &Endpoint, handle: &str, seats: Vec<Seat>) {
         let last_event = self.last_event();
         let source = Some((source.address, handle));
         let purpose = Purpose::Decode { hold: None, source, last_event };
@@ -232,49 +239,48 @@
             }
             break;
         }
-        // Without an answer the stream is continued or cut as one that broke off.
+        // Without a response, the stream is resumed or cut like one that broke off.
         if self.answer.is_none() && !self.resume("move failed").await {
             self.broken = Some("move failed");
         }
     }
 
-    /// The last event passed on, here or before the caller took the stream up again.
+    /// Id of the last event that the caller has, relayed here or in the response that it resumes.
     fn last_event(&self) -> Option<u64> {
         self.events.last_id().or(self.run.call.ask.last_event)
     }
 
-    /// Continues the stream at other engines, as long as attempts are left; false if that may not or could not be
-    /// done.
+    /// Resumes the stream at other engines while attempts are left. Returns false if that is not allowed or failed.
     async fn resume(&mut self, why: &str) -> bool {
         let last = self.last_event();
         self.events.discard();
-        let bound = loop {
-            if let Some(bound) = self.bound() {
-                break bound;
+        let denied = loop {
+            if let Some(denied) = self.resume_denied() {
+                break denied;
             }
             let resumed = self.run.elsewhere(last).await;
             self.run.node.meter.retried(Retry::Resumed);
-            let (outcome, on) = match &resumed {
+            let (outcome, retry) = match &resumed {
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
                     answer.note(Outcome::Error);
-                    // Dropped before the next try, and its trial with it.
+                    // The response, and its probe run with it, is dropped before the next try.
                     ("not resumed", true)
                 }
-                Err(failure) => ("not resumed", failure.is_some_and(|it| !it.barred())),
+                Err(failure) => ("not resumed", failure.is_some_and(|known| !known.barred())),
             };
-            self.told_resume(why, outcome);
-            if !on {
+            self.log_resume(why, outcome);
+            if !retry {
                 self.answer = resumed.ok();
                 return self.answer.is_some();
             }
         };
-        self.told_resume(why, bound);
+        self.log_resume(why, denied);
         false
     }
 
-    /// What keeps the stream from being continued, if anything; else a repeat is taken for it.
-    fn bound(&self) -> Option<&'static str> {
+    /// Why the stream may not be resumed, if so; otherwise takes a retry from the budget.
+    fn resume_denied(&self) -> Option<&'static str> {
         let Run { node, call, route, service, sent, .. } = &self.run;
         if self.run.has_spare() {
             return None;
@@ -295,7 +301,7 @@
         None
     }
 
-    fn told_resume(&self, why: &str, outcome: &str) {
+    fn log_resume(&self, why: &str, outcome: &str) {
         let request = self.run.call.ask.id.as_str();
         let after = self.last_event().unwrap_or_default();
         info!(request, why, outcome, after; "{}", event::ATTEMPT);
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -1,7 +1,7 @@
-//! Decode memory, reserved at an engine before a prompt is read.
+//! Reserves decode memory at an engine before the prompt is prefilled.
 //!
-//! The engine itself arbitrates between nodes. Who asks first, for how long and up to which load is
-//! decided by `admission`.
+//! Concurrent reservations of several nodes are arbitrated by the engine. `admission` decides how long a request waits and
+//! up to which load an engine is asked.
 
 use crate::event;
 use crate::exchange::{self, Seat};
@@ -20,42 +20,40 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Pause before memory is asked for again: about the time in which one of the sites' engines ends
-/// a draft at full load.
-const PAUSE_MILLIS: std::ops::Range<u64> = 50..90;
+/// Pause between rounds of reservation attempts: about the time in which an engine at full load ends one stream.
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 50..90;
 
-/// Engines asked for memory before a pause: some may have crashed, and a refusal costs one short
-/// call.
-const ASKED: usize = 4;
+/// Engines asked in one round: some may have crashed, and a refusal costs only one short call.
+const MAX_ENGINES_PER_ROUND: usize = 4;
 
-/// Time for the answer to a reservation, which usually takes 5 ms. One silent engine must leave time
-/// to ask another while a caller waits.
-const HOLD_ANSWER: Duration = Duration::from_millis(90);
+/// Timeout of a reservation, which usually takes 5 ms. An unresponsive engine must leave time to ask another one while the
+/// caller waits.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(90);
 
-/// Share of the most tokens that are expected where the caller gives no estimate.
-const USUAL_SHARE: f64 = 0.5;
+/// Share of the maximum output tokens that is expected if the caller gives no estimate.
+const DEFAULT_OUTPUT_SHARE: f64 = 0.5;
 
-/// Fewest tokens that are reserved.
-const LEAST: u32 = 64;
+/// Minimum size of a reservation.
+const MIN_RESERVED_TOKENS: u32 = 64;
 
 impl Run {
-    /// Tokens of KV cache that the request is expected to need.
+    /// KV cache tokens that the request is expected to need.
     pub fn tokens(&self) -> u32 {
-        self.call.ask.prompt + self.output()
+        self.call.ask.prompt + self.output_tokens()
     }
 
-    /// Tokens that the request is expected to generate.
-    fn output(&self) -> u32 {
+    /// Output tokens that the request is expected to generate.
+    fn output_tokens(&self) -> u32 {
         let ask = &self.call.ask;
-        let usual = (f64::from(ask.most) * USUAL_SHARE) as u32;
-        ask.hint.unwrap_or(usual).min(ask.most)
+        let default = (f64::from(ask.most) * DEFAULT_OUTPUT_SHARE) as u32;
+        ask.hint.unwrap_or(default).min(ask.most)
     }
 
-    /// Reserves memory at a decoding engine, if need be not at one of them.
-    pub async fn reserve(&self, until: Instant, but: Option<Key>) -> Result<Hold, Refusal> {
+    /// Reserves memory at a decode engine other than `except`, and waits for it until a time.
+    pub async fn reserve(&self, until: Instant, except: Option<Key>) -> Result<Hold, Refusal> {
         let mut rounds = 0_u32;
         loop {
-            let bound = match self.round(but).await {
+            let bound = match self.round(except).await {
                 Ok(hold) => return Ok(hold),
                 Err(bound) => bound,
             };
@@ -63,32 +61,33 @@
             if let Some(refusal) = limit::refusal_by(&self.node, &self.service, until) {
                 return Err(refusal);
             }
-            let pause = Duration::from_millis(rand::rng().random_range(PAUSE_MILLIS));
+            let pause = Duration::from_millis(rand::rng().random_range(RETRY_PAUSE_MS));
             if Instant::now() + pause >= until {
-                self.no_room(bound, rounds);
+                self.log_no_room(bound, rounds);
                 return Err(come_back(Reason::NoRoom));
             }
             sleep(pause).await;
         }
     }
 
-    /// Reserves memory at an engine that keeps the prompt, for what is still to be generated. To
-    /// reserve the whole would push the prompt out.
-    pub async fn reserve_at(&self, keeper: Key) -> Option<Hold> {
-        self.hold((keeper, 0.0), self.output().max(LEAST)).await
+    /// Reserves memory for the output tokens only, at an engine that caches the prompt. A reservation for the prompt as
+    /// well would evict it.
+    pub async fn reserve_at(&self, engine: Key) -> Option<Hold> {
+        self.reserve_on((engine, 0.0), self.output_tokens().max(MIN_RESERVED_TOKENS)).await
     }
 
-    /// Asks the best engines for memory once, or says what is short.
-    async fn round(&self, but: Option<Key>) -> Result<Hold, &'static str> {
+    /// Asks the best engines for memory once. The error says what is exhausted: `memory` if no engine seems to have
+    /// room, `reservations` if engines refused.
+    async fn round(&self, except: Option<Key>) -> Result<Hold, &'static str> {
         let tokens = self.tokens();
         let mut tried = quarantine::others_on_trial(&self.node, &self.call);
-        tried.extend(but);
-        let barred = tried.len();
-        while tried.len() < barred + ASKED {
+        tried.extend(except);
+        let excluded = tried.len();
+        while tried.len() < excluded + MAX_ENGINES_PER_ROUND {
             let Some(place) = self.decoder(self.standing.full(), &tried) else {
-                return Err(if tried.len() == barred { "memory" } else { "reservations" });
+                return Err(if tried.len() == excluded { "memory" } else { "reservations" });
             };
-            match self.hold(place, tokens).await {
+            match self.reserve_on(place, tokens).await {
                 Some(hold) => return Ok(hold),
                 None => tried.push(place.0),
             }
@@ -96,7 +95,7 @@
         Err("reservations")
     }
 
-    fn no_room(&self, bound: &'static str, rounds: u32) {
+    fn log_no_room(&self, bound: &'static str, rounds: u32) {
         let tokens = self.tokens();
         let occupancy = self.node.pool().occupancy(&self.service, self.engine.capacity);
         let request = self.call.ask.id.as_str();
@@ -105,24 +104,25 @@
         info!(request, late, tokens, rounds, bound, occupancy, outcome; "{}", event::RESERVE);
     }
 
-    async fn hold(&self, place: (Key, f64), tokens: u32) -> Option<Hold> {
+    /// Reserves memory at one engine.
+    async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Hold> {
         let key = place.0;
         let engine = self.node.pool().get(key).cloned()?;
         let mut seat = Seat::take(&self.node, place, self.tokens());
-        // Before memory is reserved, which would lie idle without it.
+        // Before memory is reserved, which would stay unused without a permit.
         seat.admit(&self.call.ask.id).await.ok()?;
         let request = engine::take_hold(&engine, tokens, self.engine.hold_limit);
-        let answer = self.node.control.call(engine.address, request, HOLD_ANSWER).await;
+        let answer = self.node.control.call(engine.address, request, RESERVE_TIMEOUT).await;
         let id = match &answer {
             Ok(answer) if answer.status.is_success() => engine::hold(&answer.body),
             Ok(answer) => {
-                debug!("reservation at {}: {}", engine.id, answer.status);
+                debug!("reservation at {} refused: {}", engine.id, answer.status);
                 let full = answer.status == StatusCode::SERVICE_UNAVAILABLE;
                 seat.note(if full { Outcome::Refused } else { Outcome::Down });
                 None
             }
             Err(error) => {
-                debug!("reservation at {}: {error}", engine.id);
+                debug!("reservation at {} failed: {error}", engine.id);
                 seat.note(exchange::outcome(error));
                 None
             }
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -1,4 +1,4 @@
-//! A node's life: start, signals and stop.
+//! Lifecycle of a node: start, signals and graceful shutdown.
 
 use crate::mirror::Topic;
 use crate::node::Node;
@@ -17,28 +17,28 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::task::TaskTracker;
 
-/// Usual port of the metrics, on every VM; deploy/system.toml names the same.
+/// Default port of the metrics on every VM; must match deploy/system.toml.
 pub const METRICS_PORT: u16 = 19_464;
 
-/// Path of the metrics.
+/// HTTP path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Time between rounds of tidying: a small part of the shortest time that anything is kept.
-const TIDY: Duration = Duration::from_millis(250);
+/// Interval between removals of expired state: a small part of the shortest lifetime.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a node can't run.
+/// Why a node can't start.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// A socket or a signal handler.
+    /// A socket or a signal handler failed.
     #[display("site: {_0}")]
     Io(io::Error),
-    /// The metrics can't be set up.
+    /// The metrics can't be registered.
     #[display("metrics: {_0}")]
     Metrics(prometheus::Error),
 }
 
-/// Runs a node until its stop is announced and its last request has ended. SIGHUP has the settings
-/// file read again.
+/// Runs a node until its stop is announced and its last request has ended. SIGHUP makes it check the settings file
+/// again.
 pub async fn run(
     settings: Settings,
     path: &str,
@@ -53,7 +53,7 @@
     loop {
         tokio::select! {
             () = &mut announced => break,
-            _ = reload.recv() => reread(path),
+            _ = reload.recv() => check_settings(path),
         }
     }
     stop(&node, &connections).await;
@@ -79,7 +79,7 @@
     tokio::spawn(rulings::follow(node.clone()));
     tokio::spawn(rulings::save(node.clone()));
     tokio::spawn(pause::watch(node.clone()));
-    tokio::spawn(tidy(node.clone()));
+    tokio::spawn(remove_expired(node.clone()));
     let node = node.clone();
     tokio::spawn(async move {
         if let Err(error) = peers::run(node).await {
@@ -89,9 +89,9 @@
     Ok(())
 }
 
-async fn tidy(node: Arc<Node>) {
+async fn remove_expired(node: Arc<Node>) {
     loop {
-        sleep(TIDY).await;
+        sleep(EXPIRY_INTERVAL).await;
         node.control.tidy();
         node.idle.tidy();
         node.pool().expire(node.now());
@@ -101,23 +101,23 @@
     }
 }
 
-/// Checks settings that changed. What they may change takes effect at the next start.
-fn reread(path: &str) {
+/// Checks the settings file and logs the result; changes take effect at the next start.
+fn check_settings(path: &str) {
     match Settings::read(path) {
         Ok(settings) => info!(vm = settings.vm; "{}", event::RELOAD),
         Err(error) => warn!(why:% = error; "{}", event::RELOAD),
     }
 }
 
-/// Lets requests end. The platform kills the process when its grace is over.
+/// Drains requests in flight. The platform kills the process at the end of its grace period.
 async fn stop(node: &Arc<Node>, connections: &TaskTracker) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     node.stopping.send_replace(Some(node.now()));
     node.changed.notify_one();
     info!(open = connections.len(), phase = "begin"; "{}", event::STOP);
     sleep(TAKES_STREAMS).await;
     connections.close();
     connections.wait().await;
-    let took_ms = began.elapsed().as_millis() as u64;
+    let took_ms = started_at.elapsed().as_millis() as u64;
     info!(took_ms, phase = "end"; "{}", event::STOP);
 }
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -1,58 +1,58 @@
-//! What a node still takes once its stop was announced.
+//! Graceful shutdown: which requests a node still accepts after its stop was announced.
 //!
-//! The balancer needs two questions a second apart to see that a node is not ready, and where most of a
-//! failure domain's nodes stop at once it goes on using all of them. So what surely ends before the kill is taken; streams,
-//! which last seconds, only at first, and only if such streams end in time.
+//! The load balancer needs two health checks, a second apart, to notice that a node is not ready; and if most nodes of a
+//! failure domain stop at once, it keeps sending requests to all of them. So a stopping node accepts requests that are sure
+//! to end before it is killed. Streams, which last seconds, are accepted only at first, and only if such streams end in time.
 
 use crate::node::Node;
 use crate::refusal::{COME_BACK, Reason, Refusal};
 use crosslane_state::route::{Kind, Route};
 use std::time::Duration;
 
-/// Time after the announcement in which streams are taken, and calls by how long such calls last; later ones by how long
-/// they may take.
+/// Time after the announcement in which streams and calls are accepted if requests to their service usually end in
+/// time. Later, only calls are accepted, and only if their deadline is before the kill.
 pub const TAKES_STREAMS: Duration = Duration::from_millis(2_800);
 
-/// Time before the kill by which a call taken late must have ended: covers a busy VM, and the answer's
-/// way.
-const MARGIN: Duration = Duration::from_millis(700);
+/// Time before the kill by which an accepted request must end: covers a busy VM and the transmission of the
+/// response.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// A request that came after the announcement.
+/// A request that arrived after the announcement.
 #[derive(Clone, Copy, Debug)]
 pub struct Late {
     /// Time since the announcement.
     pub since: Duration,
     /// Time from the announcement to the kill.
     pub grace: Duration,
-    /// Time that the request may take.
+    /// Time until the deadline of the request.
     pub left: Duration,
-    /// Time that such requests last at the longest.
+    /// Longest recent duration of requests to the same service.
     pub lasts: Duration,
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub streams: bool,
 }
 
 impl Late {
-    /// Whether it is taken.
+    /// Whether the request is accepted.
     pub fn taken(self) -> bool {
-        let ends = |takes: Duration| self.since + takes + MARGIN <= self.grace;
+        let ends_in_time = |duration: Duration| self.since + duration + KILL_MARGIN <= self.grace;
         match self.since <= TAKES_STREAMS {
-            true => ends(self.lasts),
-            false => !self.streams && ends(self.left),
+            true => ends_in_time(self.lasts),
+            false => !self.streams && ends_in_time(self.left),
         }
     }
 }
 
-/// Refuses a request that may not begin any more, since a stop was announced.
+/// Refuses a request if the node is stopping and may be killed before the request ends.
 pub fn check(node: &Node, route: &Route, service: &str, left: Duration) -> Result<(), Refusal> {
-    let Some(at) = *node.stopping.borrow() else {
+    let Some(announced_at) = *node.stopping.borrow() else {
         return Ok(());
     };
     let late = Late {
-        since: Duration::from_millis(node.now().since(at)),
+        since: Duration::from_millis(node.now().since(announced_at)),
         grace: Duration::from_millis(node.settings.grace),
         left,
-        lasts: node.longest(service).map_or(left, |it| it.min(left)),
+        lasts: node.longest(service).map_or(left, |longest| longest.min(left)),
         streams: matches!(route.kind, Kind::Stream { .. }),
     };
     if late.taken() { Ok(()) } else { Err(Refusal::later(Reason::Stopping, COME_BACK)) }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,8 +1,8 @@
-//! Streams of generated tokens: memory reserved, prompt read, tokens generated and relayed.
+//! Token streams: reserves decode memory, prefills the prompt, then decodes and relays the tokens.
 //!
-//! Decode memory runs out first, and a prefill's result lives for half a second. So memory is
-//! reserved at a decoding engine before the prompt is read; the engine itself arbitrates between
-//! nodes. A stream that breaks off is continued at another engine if its route allows.
+//! Decode memory is the scarcest resource, and a prefill's KV cache expires after half a second. So memory
+//! is reserved at a decode engine before the prefill; concurrent nodes are arbitrated by the engine itself.
+//! A stream that breaks off is continued at another engine if its route allows.
 
 use crate::cache::{self, Keepers};
 use crate::exchange::{self, Answer, Call, Failure, Seat};
@@ -29,98 +29,98 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for a prefill, queueing included: the longest prompts take some 200 ms. After it the
-/// decoding engine reads the prompt itself, while its reservation still lasts.
-const PREFILL_LIMIT: Duration = Duration::from_millis(1_000);
+/// Timeout of a prefill, queueing included: prefill of the longest prompts takes up to 200 ms. After it the
+/// decode engine prefills the prompt itself, while its reservation is still valid.
+const PREFILL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Prompt tokens at a prefilling engine that count as full: what the sites' engines read in 0.6 to
-/// 1 s, after which a first event would be late.
-const PREFILL_BACKLOG: u64 = 33_000;
+/// Queued prompt tokens at which a prefill engine counts as full: engines prefill that many in 0.6 to 1 s,
+/// after which a first event would be late.
+const PREFILL_CAPACITY_TOKENS: u64 = 33_000;
 
-/// Prefilling engines that are tried where limits have no room; each costs a round trip to the limit's owner.
-const PREFILLERS: usize = 4;
+/// Prefill engines to try when they are at their rate limits; each try costs a round trip to the limit's owner.
+const MAX_PREFILL_ENGINES: usize = 4;
 
-/// Longest answer to a prefill, in bytes.
-const PREFILL_BYTES: usize = 16_384;
+/// Longest response to a prefill.
+const MAX_PREFILL_RESPONSE_BYTES: usize = 16_384;
 
-/// Pauses, each as long as the longest on time, after which an engine counts as silent: no stream that it makes
-/// is on time any more.
-const SILENT: u32 = 5;
+/// Consecutive intervals without data, each as long as the route's longest gap between events, after which an engine
+/// counts as stalled: none of its streams is on time any more.
+const STALL_GAPS: u32 = 5;
 
-/// When a refused caller should come back, in milliseconds: drafts last some 3 s, and bursts are
-/// over within seconds. Spread, so that the refused don't come back at once.
-const COME_BACK_MILLIS: std::ops::Range<u64> = 2_000..4_400;
+/// Retry-After of a refused caller: streams last some 3 s, and bursts are over within seconds. Randomised,
+/// so that refused callers don't all return at once.
+const RETRY_AFTER_MS: std::ops::Range<u64> = 2_000..4_400;
 
-/// A stream on its way.
+/// One streaming request, from reservation to relay; it may run at several engines in turn.
 pub struct Run {
     /// Node.
     pub node: Arc<Node>,
     /// Request.
     pub call: Call,
-    /// Route it came by.
+    /// Matched route.
     pub route: Route,
-    /// Service it falls to.
+    /// Service that serves it.
     pub service: String,
-    /// What the service's engines can do.
+    /// Capabilities of the service's engines.
     pub engine: Engine,
-    /// What admission knows of the caller.
+    /// What admission control knows of the caller.
     pub caller: Caller,
-    /// Whether the caller can still be answered on time.
+    /// Whether the response can still be on time.
     pub standing: Standing,
-    /// Endpoints to which the request was sent.
+    /// Attempts that reached an endpoint.
     pub sent: u32,
-    /// Prefilling engine that read the prompt, and may still keep it.
-    read_at: Option<Key>,
-    /// What the next attempt needs: the engine before fell silent.
+    /// Prefill engine that prefilled the prompt and may still cache it.
+    prefilled_at: Option<Key>,
+    /// Prepared next attempt, if the previous engine stalled.
     spare: Option<Spare>,
 }
 
-/// All that an attempt at another engine needs, with its repeat taken from the budget.
+/// Everything an attempt at another engine needs; its retry has been taken from the budget.
 #[derive(Debug)]
 pub struct Spare {
     hold: Hold,
-    /// Its prompt, if that was to be read elsewhere first.
+    /// KV cache of the prompt, if it was prefilled at another engine.
     handle: Option<Handle>,
 }
 
 impl Run {
-    /// A stream for a service's engines.
+    /// Creates a streaming request for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
             target: route.target,
             silence: route.silence(),
-            spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
+            spent: call.ask.patience.map_or(0, |patience| node.spent(&route.name, patience)),
             resumes: call.ask.last_event.is_some(),
         };
         let standing = Standing::from(&caller);
-        let (sent, read_at, spare) = (0, None, None);
-        Self { node, call, route, service, engine, caller, standing, sent, read_at, spare }
+        let (sent, prefilled_at, spare) = (0, None, None);
+        Self { node, call, route, service, engine, caller, standing, sent, prefilled_at, spare }
     }
 
-    /// Carries the request to engines and returns the stream.
+    /// Runs the request at engines and returns the event stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
         let patience = Duration::from_millis(self.standing.wait(&self.caller));
         let until = self.call.deadline.instant().min(self.call.arrived + patience);
-        let keepers = self.keepers().await;
-        let (mut hold, kept) = self.reserve_best(&keepers, until).await?;
-        // It may have waited for memory until a stop leaves it too little time to end.
+        let hits = self.cache_hits().await;
+        let (mut hold, kept) = self.reserve_near_cache(&hits, until).await?;
+        // The wait for memory may have used up the time that a shutdown leaves it to end.
         stopping::check(&self.node, &self.route, &self.service, self.call.left())?;
         Meter::time(&self.node.meter.wait, self.call.arrived.elapsed());
-        let mut handle = match self.reader(kept) {
+        let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
-            Reader::Prefilling => self.first_prefill(keepers.prefilling).await?,
+            Reader::Prefilling => self.first_prefill(hits.prefilling).await?,
         };
         if !self.node.pool().usable(hold.key) {
-            // It announced that it leaves while the prompt was read.
+            // The engine announced its departure during the prefill.
             let until = self.call.deadline.instant().min(Instant::now() + patience);
             hold = self.reserve(until, None).await?;
         }
         let answer = self.decode(&mut hold, handle.as_mut(), self.call.ask.last_event).await;
         let answer = match answer {
             Ok(answer) => answer,
-            Err(failure) => self.again(failure).await?,
+            Err(failure) => self.retry(failure).await?,
         };
-        let stream = self.without_error(answer).await;
+        let stream = self.retry_error(answer).await;
         Meter::time(&self.node.meter.first, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
@@ -128,9 +128,9 @@
         })
     }
 
-    /// An engine's answer that is an error is no stream: another one's in its place if the request
-    /// may run again, or else the error.
-    async fn without_error(&mut self, mut answer: Answer) -> Result<Answer, Answer> {
+    /// Retries at another engine if the response is an error rather than a stream and the request may run
+    /// again. Returns the error response if the retry is not allowed or fails.
+    async fn retry_error(&mut self, mut answer: Answer) -> Result<Answer, Answer> {
         if answer.parts.status.is_success() {
             return Ok(answer);
         }
@@ -139,16 +139,16 @@
             return Err(answer);
         }
         answer.rest();
-        match self.again(Failure::Broken).await {
+        match self.retry(Failure::Broken).await {
             Ok(other) if other.parts.status.is_success() => Ok(other),
             Ok(_) | Err(_) => Err(answer),
         }
     }
 
-    /// Engines that keep the prompt of a caller who takes a stream up again. One that has no part of its
-    /// answer was mostly refused before its prompt was read, or only seemed to come back: 537 such questions
-    /// in a day's logs of eleven nodes, to 47 engines each, found nothing.
-    async fn keepers(&self) -> Keepers {
+    /// Engines that still cache the prompt of a caller that resumes a stream. Other callers cause no lookup: one
+    /// without a part of its stream was mostly refused before its prefill, or only looks like one that retries, so
+    /// its lookups hit nothing (537 misses a day on eleven nodes, each asking 47 engines).
+    async fn cache_hits(&self) -> Keepers {
         match &self.call.ask.part {
             Some(part) if self.standing == Standing::Resumed => {
                 cache::find(&self.node, &self.service, &self.call.ask.id, part).await
@@ -157,38 +157,39 @@
         }
     }
 
-    /// Reserves memory where the prompt is kept, or else anywhere.
-    async fn reserve_best(
+    /// Reserves memory at an engine that caches the prompt, or else at any engine.
+    async fn reserve_near_cache(
         &self,
-        keepers: &Keepers,
+        hits: &Keepers,
         until: Instant,
     ) -> Result<(Hold, Kept), Refusal> {
-        if let Some(keeper) = keepers.decoding
-            && let Some(hold) = self.reserve_at(keeper).await
+        if let Some(cached_at) = hits.decoding
+            && let Some(hold) = self.reserve_at(cached_at).await
         {
             return Ok((hold, Kept::Decoding));
         }
         let hold = self.reserve(until, None).await?;
-        let kept = keepers.prefilling.map_or(Kept::Nowhere, |_| Kept::Prefilling);
+        let kept = hits.prefilling.map_or(Kept::Nowhere, |_| Kept::Prefilling);
         Ok((hold, kept))
     }
 
-    fn reader(&self, kept: Kept) -> Reader {
-        let queue = self.prefiller().map(|(_, load)| load);
+    /// Chooses which kind of engine prefills the prompt.
+    fn choose_reader(&self, kept: Kept) -> Reader {
+        let queue = self.choose_prefill().map(|(_, load)| load);
         let engines = self.node.pool().prefilling(&self.service);
         Reader::choose(kept, queue, engines)
     }
 
-    /// The prefilling engine with the shortest queue, and its load.
-    fn prefiller(&self) -> Option<(Key, f64)> {
+    /// Prefill engine with the shortest queue, and its load.
+    fn choose_prefill(&self) -> Option<(Key, f64)> {
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
-        let (capacity, connections) = (PREFILL_BACKLOG, self.node.connections(service));
+        let (capacity, connections) = (PREFILL_CAPACITY_TOKENS, self.node.connections(service));
         let query = Query { service, stage, capacity, connections, room: None, except: &[] };
         self.node.pool().choose(query, self.node.now())
     }
 
-    /// The best decoding engine that has room for the request, if its load is not above a share of a full
-    /// one, and its load.
+    /// Best decode engine with room for the request and a load, as a share of its capacity, not above `below`; with
+    /// its load.
     pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
         let room = Some(Room { tokens: self.tokens(), below });
         let (service, capacity) = (self.service.as_str(), self.engine.capacity);
@@ -198,30 +199,30 @@
         self.node.pool().choose(query, self.node.now())
     }
 
-    /// Has the prompt read for a first attempt. If that fails, the decoding engine is to read it
-    /// itself, as the retry budget allows: the engine that failed had an attempt.
-    async fn first_prefill(&mut self, keeper: Option<Key>) -> Result<Option<Handle>, Refusal> {
-        let read = self.prefill(keeper).await;
-        if read.is_none() && !self.node.take_repeat(&self.service) {
+    /// Prefills the prompt for a first attempt. If that fails, the decode engine does the prefill itself, if the
+    /// retry budget allows: the failed prefill counts as an attempt.
+    async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
+        let prefilled = self.prefill(cached_at).await;
+        if prefilled.is_none() && !self.node.take_repeat(&self.service) {
             self.node.meter.retried(Retry::DeniedBudget);
             return Err(come_back(Reason::Refused));
         }
-        Ok(read.map(|(at, handle)| {
-            self.read_at = Some(at);
+        Ok(prefilled.map(|(at, handle)| {
+            self.prefilled_at = Some(at);
             handle
         }))
     }
 
-    /// Has the prompt read at an engine that keeps it, or at the best one whose limit has room.
-    async fn prefill(&self, mut keeper: Option<Key>) -> Option<(Key, Handle)> {
-        for _ in 0..PREFILLERS {
-            let place = match keeper.take() {
+    /// Prefills the prompt at an engine that caches it, or else at the best one that is below its rate limit.
+    async fn prefill(&self, mut cached_at: Option<Key>) -> Option<(Key, Handle)> {
+        for _ in 0..MAX_PREFILL_ENGINES {
+            let place = match cached_at.take() {
                 Some(key) => (key, 0.0),
-                None => self.prefiller()?,
+                None => self.choose_prefill()?,
             };
             match self.prefill_at(place).await {
                 Err(Failure::Limited) => {}
-                read => return Some((place.0, read.ok()??)),
+                prefilled => return Some((place.0, prefilled.ok()??)),
             }
         }
         None
@@ -230,11 +231,11 @@
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let began = Instant::now();
         let seat = Seat::take(&self.node, place, self.call.ask.prompt);
-        let until = self.call.deadline.instant().min(began + PREFILL_LIMIT);
+        let until = self.call.deadline.instant().min(began + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, seat, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
         answer.note(Outcome::Good);
-        let (_, body) = answer.read(&self.call, PREFILL_BYTES, until).await?;
+        let (_, body) = answer.read(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
@@ -242,7 +243,7 @@
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
-    /// Sends the request to the engine that holds its memory.
+    /// Sends the request to the engine that granted the reservation.
     async fn decode(
         &mut self,
         hold: &mut Hold,
@@ -263,7 +264,7 @@
                 Err(Failure::Timeout)
             }
         };
-        self.sent += u32::from(answer.as_ref().map_or_else(|it| it.sent(), |_| true));
+        self.sent += u32::from(answer.as_ref().map_or_else(|failure| failure.sent(), |_| true));
         if answer.is_ok() {
             hold.id = None;
             if let Some(handle) = &mut handle {
@@ -273,8 +274,8 @@
         answer
     }
 
-    /// Waits for an engine. A silent one is given up only once another one has granted memory and the prompt is read
-    /// for it: its run may have been put off and go on, and nothing else may be left of the stream.
+    /// Waits for an engine. A stalled engine is abandoned only once another one has granted memory and the prompt is
+    /// prefilled for it: the stalled run may only be delayed, and until then the stream depends on it.
     pub async fn unless_silent<T>(
         &self,
         at: Key,
@@ -282,20 +283,21 @@
         attempt: impl Future<Output = T>,
     ) -> Result<T, Spare> {
         let pause = Duration::from_millis(self.route.gap);
-        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (SILENT, pause) };
-        watch::unless_silent(watch, attempt, || self.room_elsewhere(at, sent)).await
+        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (STALL_GAPS, pause) };
+        watch::unless_silent(watch, attempt, || self.prepare_failover(at, sent)).await
     }
 
-    /// Memory at another engine than a silent one, the prompt and a repeat for it, if the stream may go on there.
-    async fn room_elsewhere(&self, silent: Key, sent: u32) -> Option<Spare> {
+    /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
+    /// budget, if the stream may be resumed.
+    async fn prepare_failover(&self, stalled: Key, sent: u32) -> Option<Spare> {
         let resumable = self.route.kind == Kind::Stream { resumable: true };
         if !resumable || sent >= self.route.attempts {
             return None;
         }
         quarantine::check(&self.node, &self.call).ok()?;
-        let hold = self.reserve(self.resume_by(), Some(silent)).await.ok()?;
-        // Without an answer to that, nothing is sure at the other engine yet.
-        let handle = self.prefill_again().await.ok()?;
+        let hold = self.reserve(self.resume_by(), Some(stalled)).await.ok()?;
+        // Without the prompt the failover is not safe: the other engine may be gone before it has prefilled it.
+        let handle = self.refetch_prompt().await.ok()?;
         let engine = self.node.pool().get(hold.key).cloned()?;
         if quarantine::refuses(engine.address).await {
             return None;
@@ -307,22 +309,22 @@
         Some(Spare { hold, handle })
     }
 
-    /// Until when memory is waited for to go on with a stream.
+    /// Latest time to wait for memory to resume a stream.
     fn resume_by(&self) -> Instant {
         let patience = Duration::from_millis(admission::resume_wait(&self.caller));
         self.call.deadline.instant().min(Instant::now() + patience)
     }
 
-    /// Tries once more after an attempt that has no answer, where that is allowed.
-    async fn again(&mut self, failure: Failure) -> Result<Answer, Refusal> {
+    /// Retries at other engines after a failed attempt, while attempts and the retry budget allow.
+    async fn retry(&mut self, failure: Failure) -> Result<Answer, Refusal> {
         let kind = self.route.kind;
         if failure.may_have_run() && !kind.idempotent() {
-            return Err(given_up(failure));
+            return Err(final_refusal(failure));
         }
         let mut failure = failure;
         while !failure.barred() && self.sent < self.route.attempts.max(1) {
-            let paid = self.sent == 0 || self.spare.is_some();
-            if !paid && !self.node.take_repeat(&self.service) {
+            let prepaid = self.sent == 0 || self.spare.is_some();
+            if !prepaid && !self.node.take_repeat(&self.service) {
                 self.node.meter.retried(Retry::DeniedBudget);
                 break;
             }
@@ -332,46 +334,46 @@
                 Err(None) => break,
                 Err(Some(next)) if next.barred() && failure.may_have_run() => break,
                 Err(Some(next)) if next.may_have_run() && !kind.idempotent() => {
-                    return Err(given_up(next));
+                    return Err(final_refusal(next));
                 }
-                // A later refusal does not make the request one that has not run.
+                // A later refusal does not undo that an earlier attempt may have run.
                 Err(Some(next)) if next.may_have_run() || !failure.may_have_run() => failure = next,
                 Err(Some(_)) => {}
             }
         }
-        Err(given_up(failure))
+        Err(final_refusal(failure))
     }
 
-    /// Runs the request at another engine, after an event.
+    /// Runs the request at another engine, from after the given event.
     pub async fn elsewhere(&mut self, last_event: Option<u64>) -> Result<Answer, Option<Failure>> {
         quarantine::check(&self.node, &self.call).map_err(Some)?;
         let Spare { mut hold, mut handle } = match self.spare.take() {
             Some(spare) => spare,
             None => {
                 let hold = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
-                Spare { hold, handle: self.prefill_again().await.unwrap_or_default() }
+                Spare { hold, handle: self.refetch_prompt().await.unwrap_or_default() }
             }
         };
         self.decode(&mut hold, handle.as_mut(), last_event).await.map_err(Some)
     }
 
-    /// Fetches the prompt from the engine that read it, which usually keeps it: reading it again at
-    /// the next engine takes 0.2 s, and its streams pause meanwhile. Nothing where no engine may be asked.
-    async fn prefill_again(&self) -> Result<Option<Handle>, Failure> {
-        let keeper = self.read_at.filter(|it| self.node.pool().usable(*it));
-        let Some(keeper) = keeper.filter(|_| self.node.take_repeat(&self.service)) else {
+    /// Fetches the prompt's KV cache from the engine that prefilled it, which usually still has it: a new prefill at the
+    /// next engine takes 0.2 s and stalls its other streams. `None` if no engine may be asked.
+    async fn refetch_prompt(&self) -> Result<Option<Handle>, Failure> {
+        let cached_at = self.prefilled_at.filter(|key| self.node.pool().usable(*key));
+        let Some(cached_at) = cached_at.filter(|_| self.node.take_repeat(&self.service)) else {
             return Ok(None);
         };
-        let read = self.prefill(Some(keeper)).await;
-        read.map(|(_, handle)| Some(handle)).ok_or(Failure::Timeout)
+        let prefilled = self.prefill(Some(cached_at)).await;
+        prefilled.map(|(_, handle)| Some(handle)).ok_or(Failure::Timeout)
     }
 
-    /// Whether the next attempt has all that it needs.
+    /// Whether a next attempt is prepared.
     pub fn has_spare(&self) -> bool {
         self.spare.is_some()
     }
 
-    /// Keeps what the next attempt needs.
+    /// Stores a prepared next attempt.
     pub fn keep_spare(&mut self, spare: Spare) {
         self.spare = Some(spare);
     }
@@ -386,14 +388,14 @@
     }
 }
 
-/// Refuses a request that has not run, with a time after which to come back.
+/// Refuses a request that has not run, with a randomised Retry-After.
 pub fn come_back(reason: Reason) -> Refusal {
-    let wait = rand::rng().random_range(COME_BACK_MILLIS);
+    let wait = rand::rng().random_range(RETRY_AFTER_MS);
     Refusal::later(reason, Duration::from_millis(wait))
 }
 
-/// Says when to come back if the request has not run.
-fn given_up(failure: Failure) -> Refusal {
+/// Refusal after the last attempt; with a Retry-After if the request has not run.
+fn final_refusal(failure: Failure) -> Refusal {
     let reason = Reason::from(failure);
     if failure.may_have_run() { reason.into() } else { come_back(reason) }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! Attempts whose endpoint is silent: they go on, and what could replace them is searched for beside them.
+//! Stall detection: while an endpoint sends nothing, its attempt goes on and a failover is searched for concurrently.
 
 use crate::event;
 use crate::exchange::Call;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// When an endpoint counts as silent, and within which attempt.
+/// Attempt to watch, and when its endpoint counts as stalled.
 #[derive(Clone, Copy)]
 pub struct Watch<'a> {
     /// Node.
@@ -20,26 +20,26 @@
     pub call: &'a Call,
     /// Endpoint.
     pub at: Key,
-    /// Pauses that make a silence, and the length of each.
+    /// Consecutive intervals without data that count as a stall, and the length of each.
     pub pauses: (u32, Duration),
 }
 
-/// Waits for an attempt. While its endpoint is silent, what could replace it is searched for beside it; the attempt is given
-/// up only for what is found.
+/// Waits for an attempt. While its endpoint is stalled, `search` looks for a failover concurrently; the attempt is abandoned
+/// only once one is found, which is returned as the error.
 pub async fn unless_silent<T, S, F: Future<Output = Option<S>>>(
     watch: Watch<'_>,
     attempt: impl Future<Output = T>,
     search: impl Fn() -> F,
 ) -> Result<T, S> {
-    let Watch { node, call, at, pauses: (count, pause) } = watch;
+    let Watch { node, call, at, pauses: (count, interval) } = watch;
     let mut attempt = pin!(attempt);
     let mut silence = Silence::of(count);
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        match timeout(pause, attempt.as_mut()).await {
+        match timeout(interval, attempt.as_mut()).await {
             Ok(done) => return Ok(done),
             Err(_) if !silence.pause() => continue,
-            Err(_) => told_silent(node, call, at, began),
+            Err(_) => record_stall(node, call, at, started_at),
         }
         let found = tokio::select! {
             biased;
@@ -52,12 +52,12 @@
     }
 }
 
-/// Notes and tells that an endpoint sent nothing of an attempt since a moment.
-fn told_silent(node: &Node, call: &Call, at: Key, since: Instant) {
+/// Counts and logs that an endpoint has sent nothing for an attempt since a time.
+fn record_stall(node: &Node, call: &Call, at: Key, since: Instant) {
     let mut pool = node.pool();
     pool.note(at, Outcome::Failed, node.now());
     node.meter.silences.inc();
-    let to = pool.get(at).map(|it| it.id.as_str()).unwrap_or_default();
+    let to = pool.get(at).map(|endpoint| endpoint.id.as_str()).unwrap_or_default();
     let (request, listed) = (call.ask.id.as_str(), pool.usable(at));
     let silent_ms = since.elapsed().as_millis() as u64;
     let left_ms = call.left().as_millis() as u64;
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Questions to owners of limits, and answers that come too late.
+//! Queries to the owners of limits, and replies that arrive too late.
 
 use crosslane_coordination::quota::{Bound, Verdict};
 use crosslane_gateway::members::Subject;
@@ -9,33 +9,36 @@
 
 const SUBJECT: Subject = Subject::Organisation(Tag(7));
 
-struct Late {
+struct Reply {
     name: &'static str,
-    waits: bool,
+    waiting: bool,
     verdict: Verdict,
-    /// Whether the answer grants what nobody uses.
-    given_back: bool,
+    /// Whether the reply grants a cost that no request uses.
+    refunded: bool,
 }
 
 #[rstest]
-#[case(Late { name: "in time", waits: true, verdict: Verdict::Granted, given_back: false })]
-#[case(Late { name: "too late", waits: false, verdict: Verdict::Granted, given_back: true })]
-#[case(Late { name: "refused too late", waits: false, verdict: Verdict::Over { wait: 1 }, given_back: false })]
-fn what_is_granted_too_late_is_given_back(#[case] case: Late) {
+#[case(Reply { name: "in time", waiting: true, verdict: Verdict::Granted, refunded: false })]
+#[case(Reply { name: "too late", waiting: false, verdict: Verdict::Granted, refunded: true })]
+#[case(Reply { name: "refused too late", waiting: false, verdict: Verdict::Over { wait: 1 }, refunded: false })]
+fn grant_that_arrives_too_late_is_refunded(#[case] case: Reply) {
     let desk = Desk::new(Bound::default());
-    let (number, answer) = desk.ask(SUBJECT, 3_000, Millis(0));
-    let waiting = case.waits.then_some(answer);
-    let expected = case.given_back.then_some((SUBJECT, 3_000));
+    let (number, reply) = desk.ask(SUBJECT, 3_000, Millis(0));
+    let receiver = case.waiting.then_some(reply);
+    let expected = case.refunded.then_some((SUBJECT, 3_000));
     assert_eq!(desk.hear(number, case.verdict), expected, "{}", case.name);
-    assert_eq!(desk.hear(number, case.verdict), None, "{}: heard twice", case.name);
-    assert_eq!(waiting.map(|mut it| it.try_recv().ok()), case.waits.then_some(Some(case.verdict)));
+    assert_eq!(desk.hear(number, case.verdict), None, "{}: second reply", case.name);
+    assert_eq!(
+        receiver.map(|mut reply| reply.try_recv().ok()),
+        case.waiting.then_some(Some(case.verdict))
+    );
 }
 
 #[rstest]
-fn questions_that_are_never_answered_are_forgotten() {
+fn queries_without_reply_expire() {
     let desk = Desk::new(Bound::default());
-    let (number, answer) = desk.ask(SUBJECT, 3_000, Millis(0));
-    drop(answer);
+    let (number, reply) = desk.ask(SUBJECT, 3_000, Millis(0));
+    drop(reply);
     desk.tidy(Millis(5_000));
     assert_eq!(desk.hear(number, Verdict::Granted), None);
 }
--- a/crates/gateway/tests/stopping.rs
+++ b/crates/gateway/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! Requests that come after a stop was announced.
+//! Which requests a stopping node still accepts.
 
 use crosslane_gateway::stopping::Late;
 use rstest::rstest;
@@ -14,17 +14,17 @@
 }
 
 #[rstest]
-#[case(Case { name: "a stream, before the balancer knows", since: 2_000, left: 14_000, lasts: 3_000, streams: true, taken: true })]
-#[case(Case { name: "a stream that may outlast the grace", since: 2_000, left: 14_000, lasts: 14_000, streams: true, taken: false })]
-#[case(Case { name: "a stream where such streams outlast it", since: 100, left: 14_000, lasts: 7_400, streams: true, taken: false })]
-#[case(Case { name: "a stream, later", since: 3_000, left: 14_000, lasts: 3_000, streams: true, taken: false })]
-#[case(Case { name: "a short stream, later", since: 3_000, left: 1_000, lasts: 1_000, streams: true, taken: false })]
+#[case(Case { name: "a stream, before the load balancer has noticed", since: 2_000, left: 14_000, lasts: 3_000, streams: true, taken: true })]
+#[case(Case { name: "a stream whose service has streams longer than the grace period", since: 2_000, left: 14_000, lasts: 14_000, streams: true, taken: false })]
+#[case(Case { name: "a stream whose service has streams almost as long as the grace period", since: 100, left: 14_000, lasts: 7_400, streams: true, taken: false })]
+#[case(Case { name: "a stream, after the load balancer has noticed", since: 3_000, left: 14_000, lasts: 3_000, streams: true, taken: false })]
+#[case(Case { name: "a short stream, after the load balancer has noticed", since: 3_000, left: 1_000, lasts: 1_000, streams: true, taken: false })]
 #[case(Case { name: "a call that ends in time", since: 5_000, left: 1_500, lasts: 60, streams: false, taken: true })]
-#[case(Case { name: "a call that may not end in time", since: 6_000, left: 1_500, lasts: 60, streams: false, taken: false })]
-#[case(Case { name: "a call that may take long", since: 3_000, left: 9_000, lasts: 60, streams: false, taken: false })]
-#[case(Case { name: "a long call, before the balancer knows", since: 2_800, left: 9_000, lasts: 60, streams: false, taken: true })]
-#[case(Case { name: "a call where such calls outlast it", since: 2_800, left: 9_000, lasts: 9_000, streams: false, taken: false })]
-fn taken_while_stopping(#[case] case: Case) {
+#[case(Case { name: "a call whose deadline is after the kill", since: 6_000, left: 1_500, lasts: 60, streams: false, taken: false })]
+#[case(Case { name: "a call with a long timeout", since: 3_000, left: 9_000, lasts: 60, streams: false, taken: false })]
+#[case(Case { name: "a long call, before the load balancer has noticed", since: 2_800, left: 9_000, lasts: 60, streams: false, taken: true })]
+#[case(Case { name: "a call whose service has calls longer than the grace period", since: 2_800, left: 9_000, lasts: 9_000, streams: false, taken: false })]
+fn requests_accepted_while_stopping(#[case] case: Case) {
     let late = Late {
         since: Duration::from_millis(case.since),
         grace: Duration::from_secs(8),
