--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -200,8 +200,8 @@
 
     /// Records that the response is complete, and returns the connection for reuse.
     pub fn ended_well(&mut self) {
-        if let Some(trial) = &mut self.trial {
-            trial.well = true;
+        if let Some(probe) = &mut self.trial {
+            probe.well = true;
         }
         if self.reusable
             && let Some(connection) = self.connection.take()
@@ -245,18 +245,18 @@
 /// Sends a call to an endpoint and waits for the response head.
 pub async fn send(
     call: &Call,
-    mut seat: Seat,
+    mut slot: Seat,
     purpose: &Purpose<'_>,
     until: Instant,
 ) -> Result<Answer, Failure> {
-    let node = seat.node.clone();
-    let Some(endpoint) = node.pool().get(seat.key).cloned() else {
+    let node = slot.node.clone();
+    let Some(endpoint) = node.pool().get(slot.key).cloned() else {
         return Err(Failure::Unsent);
     };
-    seat.admit(&call.ask.id).await?;
-    let mut trial = quarantine::admit(&node, call, &endpoint, purpose).await?;
-    log_placement(&node, call, &seat, &endpoint, purpose);
-    let sent = node.now();
+    slot.admit(&call.ask.id).await?;
+    let mut probe = quarantine::admit(&node, call, &endpoint, purpose).await?;
+    log_placement(&node, call, &slot, &endpoint, purpose);
+    let sent_at = node.now();
     let runs = !matches!(purpose, Purpose::Prefill);
     // Marked before sending: if the attempt is dropped meanwhile, whether the endpoint runs the request is unknown.
     let sent_before = runs && call.grant.sent();
@@ -265,7 +265,7 @@
             call.grant.unsent();
         }
     };
-    seat.permit.iter().for_each(|permit| {
+    slot.permit.iter().for_each(|permit| {
         permit.sent();
     });
     let result = connect_and_send(&node, call, &endpoint, purpose, until).await;
@@ -275,23 +275,23 @@
             let failure = Failure::from(&error);
             if !failure.may_have_run() {
                 mark_unsent();
-                seat.permit.iter().for_each(Grant::unsent);
+                slot.permit.iter().for_each(Grant::unsent);
             }
-            seat.note(outcome(&error));
+            slot.note(outcome(&error));
             log_failure(call, &endpoint, failure, &error.to_string());
             if failure == Failure::Broken {
-                quarantine::judge(&node, call, &endpoint, sent).await;
+                quarantine::judge(&node, call, &endpoint, sent_at).await;
             }
             return Err(failure);
         }
     };
     let head = Head::read(&parts, &call.ask.id);
     if let Some(load) = head.load {
-        node.pool().load(seat.key, load, node.now());
+        node.pool().load(slot.key, load, node.now());
     }
     // A 421 comes from another incarnation at the same address, which names its own rate limit.
     if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
-        limit::note(&node, &endpoint, &head.limit, sent);
+        limit::note(&node, &endpoint, &head.limit, sent_at);
     }
     let rejection = reject(&head, parts.status, purpose);
     if let Some((failure, outcome)) = rejection {
@@ -300,7 +300,7 @@
         }
         // An endpoint that names a rate limit refuses to enforce it; that is no reason to avoid it.
         if outcome != Outcome::Refused || node.limits().rate(endpoint.tag()).is_none() {
-            seat.note(outcome);
+            slot.note(outcome);
         }
         log_failure(call, &endpoint, failure, &parts.status.to_string());
         if failure == Failure::Refused && matches!(purpose, Purpose::Run) {
@@ -313,17 +313,27 @@
         let status = parts.status.as_u16();
         info!(request, to, status, outcome = "error"; "{}", event::ATTEMPT);
     }
-    let began = node.now();
-    trial.iter_mut().for_each(|probe| probe.began = Some(began));
+    let started_at = node.now();
+    probe.iter_mut().for_each(|running| running.began = Some(started_at));
     let (connection, reusable) = (Some(connection), matches!(purpose, Purpose::Run));
-    Ok(Answer { parts, head, body, endpoint, began, seat, trial, connection, reusable })
+    Ok(Answer {
+        parts,
+        head,
+        body,
+        endpoint,
+        began: started_at,
+        seat: slot,
+        trial: probe,
+        connection,
+        reusable,
+    })
 }
 
 /// Logs where a request is sent and the load behind the choice.
 fn log_placement(
     node: &Node,
     call: &Call,
-    seat: &Seat,
+    slot: &Seat,
     endpoint: &Endpoint,
     purpose: &Purpose<'_>,
 ) {
@@ -335,7 +345,7 @@
         Purpose::Decode { source: Some(_), .. } => "decode",
         Purpose::Decode { source: None, .. } => "prefill and decode",
     };
-    let (load, offset) = (seat.load, node.mirror().ends().endpoints);
+    let (load, offset) = (slot.load, node.mirror().ends().endpoints);
     let left_ms = call.left().as_millis() as u64;
     let prompt = call.ask.part.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -163,8 +163,9 @@
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
     let method = head.method;
     let grant = quota::take(node, organisation, ask.tokens(), &ask.id).await?;
-    let (ask, print, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
-    let call = Call { ask, method, uri, body, arrived, deadline, print, grant };
+    let (metadata, fingerprint, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
+    let call =
+        Call { ask: metadata, method, uri, body, arrived, deadline, print: fingerprint, grant };
     quarantine::check(node, &call).map_err(|failure| quarantine::refusal(node, &call, failure))?;
     let engine = table.services.get(service).and_then(|config| config.engine);
     match (route.kind, engine) {
--- a/crates/gateway/src/hold.rs
+++ b/crates/gateway/src/hold.rs
@@ -30,8 +30,8 @@
 
 impl Hold {
     /// Wraps a reservation that an engine granted.
-    pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, seat: Seat) -> Self {
-        Self { node: node.clone(), engine, key: seat.key, id: Some(id), seat: Some(seat) }
+    pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, slot: Seat) -> Self {
+        Self { node: node.clone(), engine, key: slot.key, id: Some(id), seat: Some(slot) }
     }
 }
 
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -1,8 +1,8 @@
-//! Rate limits that endpoints name: taken from answers, told to other nodes, and kept.
+//! Rate limits that endpoints name in their responses: records them, shares them with other nodes and enforces them.
 //!
-//! What is known of them, and which of two words counts, is decided by `coordination::limits`; what may be sent, by the
-//! limit's owner (`quota`). A request that an endpoint's limit has no room for goes to another endpoint, and the node leaves the
-//! first one alone until there should be room again.
+//! `coordination::limits` holds the known limits and resolves conflicting updates; the owner of a limit (`quota`) decides what
+//! may be sent. A request for which an endpoint's limit has no room goes to another endpoint, and the node sends nothing to the
+//! first one until there should be room again.
 
 use crate::event;
 use crate::exchange::Failure;
@@ -24,16 +24,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a request costs an endpoint's limit.
+/// Cost of a request, in the unit of an endpoint's limit.
 const COST: u32 = 1;
 
-/// Takes what an answer of an endpoint says whose request was sent at a time. What can't be read changes
-/// nothing, and is told of once.
+/// Records the limit named in an endpoint's response; `sent_at` is when its request was sent. An unreadable limit changes
+/// nothing and is logged once.
 pub fn note(
     node: &Node,
     endpoint: &Endpoint,
     named: &Result<Option<Rate>, LimitError>,
-    sent: Millis,
+    sent_at: Millis,
 ) {
     let from = endpoint.id.as_str();
     let rate = match named {
@@ -45,58 +45,59 @@
             return;
         }
     };
-    let change = node.limits().note(endpoint.tag(), rate, sent, node.now());
+    let change = node.limits().note(endpoint.tag(), rate, sent_at, node.now());
     if let Some(change) = change {
         apply(node, endpoint.tag(), change, "answer");
         node.limited.notify_one();
     }
 }
 
-/// Takes another node's words.
-pub fn hear(node: &Node, words: &[(Tag, Word)], from: IpAddr) {
-    for (endpoint, word) in words {
-        let change = node.limits().hear(*endpoint, *word, node.now());
+/// Merges another node's updates.
+pub fn hear(node: &Node, updates: &[(Tag, Word)], from: IpAddr) {
+    for (endpoint, update) in updates {
+        let change = node.limits().hear(*endpoint, *update, node.now());
         if let Some(change) = change {
             apply(node, *endpoint, change, from);
         }
     }
 }
 
-/// Takes what a node knows of a limit that it asks about, and tells it if it knows less.
-pub fn hear_asker(node: &Node, subject: Subject, word: Option<Word>, from: IpAddr) {
-    let (Subject::Endpoint(endpoint), Some(word)) = (subject, word) else {
+/// Merges what a querying node knows of a limit, and sends it the newer state if it is behind.
+pub fn hear_asker(node: &Node, subject: Subject, theirs: Option<Word>, from: IpAddr) {
+    let (Subject::Endpoint(endpoint), Some(theirs)) = (subject, theirs) else {
         return;
     };
-    hear(node, &[(endpoint, word)], from);
-    let known = node.limits().word(endpoint);
-    if let Some(known) = known.filter(|it| *it != word) {
-        peers::post(node, &Message::Limits { words: vec![(endpoint, known)] }, from);
+    hear(node, &[(endpoint, theirs)], from);
+    let ours = node.limits().word(endpoint);
+    if let Some(ours) = ours.filter(|word| *word != theirs) {
+        peers::post(node, &Message::Limits { words: vec![(endpoint, ours)] }, from);
     }
 }
 
+/// Applies a changed limit to the bucket and to the pool, and logs it.
 fn apply(node: &Node, endpoint: Tag, change: Change, source: impl Display) {
     if change.rate.is_some() {
         quota::begin(node, Subject::Endpoint(endpoint));
     }
     let mut pool = node.pool();
     pool.let_in(endpoint, change.rate.is_none(), node.now());
-    let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|it| it.id.as_str());
+    let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|listed| listed.id.as_str());
     let to = to.unwrap_or_default();
-    let (per_second, before) = (told(change.rate), told(change.before));
+    let (per_second, before) = (rate_text(change.rate), rate_text(change.before));
     info!(to, per_second, before, source:%; "{}", event::LIMIT);
 }
 
-/// A limit as logs tell it; empty for none.
-fn told(rate: Option<Rate>) -> String {
-    rate.map(|it| it.to_string()).unwrap_or_default()
+/// Limit as written to the log; empty if there is none.
+fn rate_text(rate: Option<Rate>) -> String {
+    rate.map(|limit| limit.to_string()).unwrap_or_default()
 }
 
-/// What all nodes together may send to an endpoint, if it names a limit.
+/// Limit of an endpoint for all nodes together, if it names one.
 pub fn of(node: &Node, endpoint: Tag) -> Option<Limit> {
     node.limits().rate(endpoint).map(limits::limit)
 }
 
-/// Takes a request's part of the limit of an endpoint, if it names one.
+/// Takes a request's cost from the limit of an endpoint, if it names one.
 pub async fn admit(node: &Arc<Node>, key: Key, request: &str) -> Result<Grant, Failure> {
     let endpoint = node.pool().get(key).map(Endpoint::tag).ok_or(Failure::Unsent)?;
     let Some(limit) = of(node, endpoint) else {
@@ -107,33 +108,33 @@
         Err(Over { wait_ms, source }) => {
             let mut pool = node.pool();
             pool.hold_back(key, node.now() + wait_ms);
-            let to = pool.get(key).map(|it| it.id.as_str()).unwrap_or_default();
+            let to = pool.get(key).map(|listed| listed.id.as_str()).unwrap_or_default();
             info!(request, to, wait_ms, source:%; "{}", event::HELD_BACK);
             Err(Failure::Limited)
         }
     }
 }
 
-/// Refuses a request if the limits of all endpoints that could serve it have no room.
+/// Refusal if all endpoints that could serve a request are at their limits.
 pub fn refusal(node: &Node, service: &str, stage: Stage) -> Option<Refusal> {
     let wait = node.pool().held_for(service, stage, node.now())?;
     Some(Refusal::later(Reason::Limited, Duration::from_millis(wait)))
 }
 
-/// Refuses a stream if no engine's limit has room by a time.
+/// Refusal of a stream if no engine's limit will have room by a time.
 pub fn refusal_by(node: &Node, service: &str, until: Instant) -> Option<Refusal> {
     let refusal = refusal(node, service, Stage::Decode)?;
-    let room = Instant::now() + refusal.retry_after.unwrap_or_default();
-    (room >= until).then_some(refusal)
+    let room_at = Instant::now() + refusal.retry_after.unwrap_or_default();
+    (room_at >= until).then_some(refusal)
 }
 
-/// Forgets endpoints that are gone.
+/// Removes expired state, and the limits of endpoints that are gone.
 pub fn tidy(node: &Node) {
     let now = node.now();
     node.throttle.tidy(now);
     lock(&node.queues).expire(now);
     let pool = node.pool();
     let mut limits = node.limits();
-    limits.expire(|it| pool.key(it).is_some(), now);
+    limits.expire(|endpoint| pool.key(endpoint).is_some(), now);
     node.meter.limited.set(limits.count() as i64);
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -140,7 +140,7 @@
         if self.is_last() || self.route.kind != Kind::Safe {
             return attempt.await;
         }
-        match self.unless_silent(place.0, attempt).await {
+        match self.unless_stalled(place.0, attempt).await {
             Ok(attempted) => attempted,
             Err(failover) => {
                 self.failover = Some(failover);
@@ -151,7 +151,7 @@
 
     /// Waits for an endpoint. A stalled endpoint is abandoned only if there is another one: it may merely be slow, and
     /// otherwise only its response can still arrive.
-    async fn unless_silent<T>(
+    async fn unless_stalled<T>(
         &self,
         at: Key,
         attempt: impl Future<Output = T>,
@@ -172,9 +172,9 @@
     place: (Key, f64),
     last: bool,
 ) -> Result<Attempt, Failure> {
-    let seat = Seat::take(node, place, 0);
+    let slot = Seat::take(node, place, 0);
     let until = call.deadline.instant();
-    let answer = exchange::send(call, seat, &Purpose::Run, until).await?;
+    let answer = exchange::send(call, slot, &Purpose::Run, until).await?;
     Meter::time(&node.meter.first, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.note(if error { Outcome::Error } else { Outcome::Good });
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,9 +1,8 @@
-//! Keeps requests that make endpoints crash away from endpoints.
+//! Poison request quarantine: keeps requests that crash endpoints away from them.
 //!
-//! What is held against a request is decided by `coordination::quarantine`. Here an endpoint that broke
-//! something off is looked at, requests are let through or not, and what was seen is logged and told. While
-//! nothing is held against any request, each costs one look at an empty map; fingerprints are taken only after
-//! a break.
+//! `coordination::quarantine` decides which requests are suspect or blocked. This module checks whether an endpoint that broke
+//! off a response has crashed, admits or rejects requests, and logs and shares the results. While no request is suspect,
+//! the check costs one lookup in an empty map per request; fingerprints are computed only after a response broke off.
 
 use crate::event;
 use crate::exchange::{Call, Failure};
@@ -30,36 +29,37 @@
 use tokio::sync::OnceCell;
 use tokio::time::{sleep, timeout};
 
-/// Time for a look at an endpoint that broke something off: a port without a process refuses within a
-/// round trip of some 3 ms. The request's next attempt waits for it.
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout of a liveness check: a port without a process refuses connections within a round trip of some 3 ms. The next
+/// attempt at the request waits for the check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which an endpoint is looked at again that still took connections: a process that ends closes its connections
+/// Delay before the second check of an endpoint that still accepts connections: a process that ends closes its connections
 /// and its port one after the other.
-const AGAIN: Duration = Duration::from_millis(10);
+const RECHECK_DELAY: Duration = Duration::from_millis(10);
 
-/// Time after which it is looked at for the last time.
-const LATER: Duration = Duration::from_millis(150);
+/// Delay before the last check.
+const LAST_CHECK_DELAY: Duration = Duration::from_millis(150);
 
-/// Looks that are remembered: those of some seconds in which hundreds of endpoints end.
-const LOOKS: usize = 1_024;
+/// Remembered checks: enough for some seconds in which hundreds of endpoints end.
+const MAX_CHECKS: usize = 1_024;
 
-/// Looks at endpoints that broke something off: one for all that ran there.
+/// Liveness checks of endpoints that broke off responses; all requests that ran there share one check.
 #[derive(Debug, Default)]
 pub struct Checks(Mutex<HashMap<Tag, Arc<OnceCell<bool>>>>);
 
 impl Checks {
-    /// Whether an endpoint is gone. Those who ask meanwhile share the look; one that is alive may be gone at the next.
+    /// Whether an endpoint is gone. Concurrent callers share a check. Only the result `true` is remembered, since a live
+    /// endpoint may be gone at the next check.
     async fn gone(&self, endpoint: &Endpoint) -> bool {
         let tag = endpoint.tag();
-        let look = {
-            let mut looks = lock(&self.0);
-            if looks.len() >= LOOKS {
-                looks.clear();
+        let cell = {
+            let mut checks = lock(&self.0);
+            if checks.len() >= MAX_CHECKS {
+                checks.clear();
             }
-            looks.entry(tag).or_default().clone()
+            checks.entry(tag).or_default().clone()
         };
-        let gone = *look.get_or_init(|| gone(endpoint.address)).await;
+        let gone = *cell.get_or_init(|| has_ended(endpoint.address)).await;
         if !gone {
             lock(&self.0).remove(&tag);
         }
@@ -67,36 +67,36 @@
     }
 }
 
-/// Whether a process has ended at an address, or just ends.
-async fn gone(address: SocketAddr) -> bool {
+/// Whether the process at an address has ended or is just ending.
+async fn has_ended(address: SocketAddr) -> bool {
     if refuses(address).await {
         return true;
     }
-    sleep(AGAIN).await;
+    sleep(RECHECK_DELAY).await;
     refuses(address).await
 }
 
-/// Whether no process listens at an address. One that is silent or cut off does not count.
+/// Whether an address refuses connections, so no process listens there. A timeout or another error does not count.
 pub async fn refuses(address: SocketAddr) -> bool {
-    let connected = timeout(LOOK, TcpStream::connect(address)).await;
+    let connected = timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// A run of a suspect; what it showed is noted when it is dropped.
+/// Probe run of a suspect request; its result is recorded when it is dropped.
 #[derive(Debug)]
 pub struct Trial {
     node: Arc<Node>,
     request: Fingerprint,
-    /// When the run began, if it has: a request may wait at its engine for seconds.
+    /// When the run started, if it has: a request may queue at its engine for seconds.
     pub began: Option<Millis>,
-    /// Whether its whole answer was made.
+    /// Whether the response was completed.
     pub well: bool,
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        let ran = self.began.map_or(0, |it| self.node.now().since(it));
-        let innocent = self.well || ran >= INNOCENT;
+        let ran_ms = self.began.map_or(0, |started_at| self.node.now().since(started_at));
+        let innocent = self.well || ran_ms >= INNOCENT;
         let mut quarantine = self.node.quarantine();
         let cleared = innocent && quarantine.clear(self.request);
         if !innocent {
@@ -105,7 +105,7 @@
         drop(quarantine);
         if cleared {
             let why = if self.well { "it ran well" } else { "its run went on" };
-            info!(fingerprint:% = self.request, ran_ms = ran, why; "{}", event::FORGOTTEN);
+            info!(fingerprint:% = self.request, ran_ms, why; "{}", event::FORGOTTEN);
         }
         self.node.suspected.notify_one();
     }
@@ -128,8 +128,7 @@
     node.quarantine().standing(request, node.now(), clock::unix())
 }
 
-/// Lets a request through to an endpoint. A run of a suspect keeps its copies back; to read its prompt
-/// does not.
+/// Admits a request to an endpoint. While a suspect runs, its copies are held back; a prefill does not count as a run.
 pub async fn admit(
     node: &Arc<Node>,
     call: &Call,
@@ -138,16 +137,16 @@
 ) -> Result<Option<Trial>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match standing(node, call) {
-        Standing::Shut(_) => Err(barred(call, Failure::ShutOut)),
-        Standing::OnTrial if runs => Err(barred(call, Failure::OnTrial)),
-        Standing::Suspect if runs => try_suspect(node, call, endpoint).await.map(Some),
+        Standing::Shut(_) => Err(log_rejection(call, Failure::ShutOut)),
+        Standing::OnTrial if runs => Err(log_rejection(call, Failure::OnTrial)),
+        Standing::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
         Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(None),
     }
 }
 
-/// Announces a run of a suspect, and lets it through if no other suspect runs there: if the endpoint ends, both are
-/// struck.
-async fn try_suspect(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Trial, Failure> {
+/// Announces a probe run of a suspect and admits it if no other suspect runs at the endpoint: if the endpoint crashed, both
+/// would get a strike.
+async fn start_probe(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Trial, Failure> {
     let (request, tag) = (call.fingerprint(), endpoint.tag());
     {
         let mut quarantine = node.quarantine();
@@ -157,60 +156,60 @@
         quarantine.begin(request, tag, node.now());
     }
     node.suspected.notify_one();
-    let trial = Trial { node: node.clone(), request, began: None, well: false };
+    let probe = Trial { node: node.clone(), request, began: None, well: false };
     sleep(Duration::from_millis(ANNOUNCED)).await;
     if node.quarantine().gives_way(request, tag, node.now()) {
         return Err(beside_another(call));
     }
     match standing(node, call) {
-        Standing::Shut(_) => Err(barred(call, Failure::ShutOut)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(trial),
+        Standing::Shut(_) => Err(log_rejection(call, Failure::ShutOut)),
+        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(probe),
     }
 }
 
 fn beside_another(call: &Call) -> Failure {
-    told_barred(call, "beside another suspect");
+    log_barred(call, "beside another suspect");
     Failure::Unsent
 }
 
-/// Engines at which other suspects run, for a suspect not to be placed beside them.
+/// Engines at which other suspects run; a suspect is not placed there.
 pub fn others_on_trial(node: &Node, call: &Call) -> Vec<Key> {
     if standing(node, call) != Standing::Suspect {
         return Vec::new();
     }
     let engines = node.quarantine().trials(call.fingerprint(), node.now());
     let pool = node.pool();
-    engines.into_iter().filter_map(|it| pool.key(it)).collect()
+    engines.into_iter().filter_map(|engine| pool.key(engine)).collect()
 }
 
-/// Tells a caller that its request was not sent, and when to come back.
+/// Refusal of a quarantined request, with a Retry-After.
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
-    barred(call, failure);
+    log_rejection(call, failure);
     match standing(node, call) {
         Standing::Shut(left) => Refusal::later(Reason::ShutOut, Duration::from_millis(left)),
         Standing::Free | Standing::Suspect | Standing::OnTrial => stream::come_back(failure.into()),
     }
 }
 
-fn barred(call: &Call, failure: Failure) -> Failure {
-    told_barred(call, failure);
+fn log_rejection(call: &Call, failure: Failure) -> Failure {
+    log_barred(call, failure);
     failure
 }
 
-fn told_barred(call: &Call, why: impl Display) {
+fn log_barred(call: &Call, why: impl Display) {
     let (request, fingerprint) = (call.ask.id.as_str(), call.fingerprint());
     info!(request, fingerprint:%, why:%; "{}", event::BARRED);
 }
 
-/// Finds out whether an endpoint that broke a request off ended under it, and holds it against the request
-/// if it had begun a moment before. An error, a cut way or a silent endpoint is no crash.
+/// Checks whether an endpoint that broke off a response has crashed, and if so counts a strike against the request if its run
+/// had started only a moment before. An error, a network partition or an unresponsive endpoint is no crash.
 pub async fn judge(node: &Arc<Node>, call: &Call, endpoint: &Endpoint, began: Millis) {
     let (request, to) = (call.ask.id.as_str(), endpoint.id.as_str());
     let ran_ms = node.now().since(began);
     let fingerprint = call.fingerprint();
     info!(request, to, ran_ms, fingerprint:%; "{}", event::BROKE);
     if ran_ms > BLAMED {
-        // It says nothing of the request, but whether endpoints end together.
+        // No evidence against the request, but used to detect that many endpoints end together.
         let (node, endpoint) = (node.clone(), endpoint.clone());
         tokio::spawn(async move {
             if node.checks.gone(&endpoint).await {
@@ -225,18 +224,19 @@
     }
     let (node, endpoint, request) = (node.clone(), endpoint.clone(), request.to_owned());
     tokio::spawn(async move {
-        sleep(LATER).await;
+        sleep(LAST_CHECK_DELAY).await;
         if node.checks.gone(&endpoint).await {
             strike(&node, &request, fingerprint, &endpoint);
         }
     });
 }
 
+/// Counts a strike against a request, and schedules the verdict once there are enough.
 fn strike(node: &Arc<Node>, request: &str, fingerprint: Fingerprint, endpoint: &Endpoint) {
-    let struck = node.quarantine().strike(fingerprint, endpoint.tag(), node.now());
+    let result = node.quarantine().strike(fingerprint, endpoint.tag(), node.now());
     let to = endpoint.id.as_str();
-    let Strike::Held(strikes) = struck else {
-        info!(request, fingerprint:%, to, why:% = struck; "{}", event::SPARED);
+    let Strike::Held(strikes) = result else {
+        info!(request, fingerprint:%, to, why:% = result; "{}", event::SPARED);
         return;
     };
     node.meter.strikes.inc();
@@ -251,7 +251,7 @@
     }
 }
 
-/// Rules on requests under which enough endpoints ended, and lets those in again that these outdo.
+/// Blocks requests with enough strikes, and unblocks those whose strikes a blocked request explains.
 fn settle(node: &Node) {
     let (now, unix) = (node.now(), clock::unix());
     let (shut, acquitted) = {
@@ -272,21 +272,21 @@
     }
 }
 
-/// Takes another node's words.
-pub fn hear(node: &Node, from: Tag, words: Vec<(Fingerprint, Word)>) {
+/// Merges another node's updates.
+pub fn hear(node: &Node, from: Tag, updates: Vec<(Fingerprint, Word)>) {
     let (now, unix) = (node.now(), clock::unix());
-    for (fingerprint, word) in words {
-        let verdict = match &word {
+    for (fingerprint, update) in updates {
+        let verdict = match &update {
             Word::Ruled(ruling) => ruling.verdict.to_string(),
             _ => String::new(),
         };
-        if node.quarantine().hear(from, fingerprint, word, now, unix) {
+        if node.quarantine().hear(from, fingerprint, update, now, unix) {
             info!(fingerprint:%, verdict, source = "peer"; "{}", event::RULED);
         }
     }
 }
 
-/// Rules on what others did not, and forgets what is over.
+/// Decides on requests that no other node has decided on, and removes expired state.
 pub fn tidy(node: &Node) {
     if node.quarantine().is_empty() {
         return;
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,8 +1,8 @@
-//! Asks a limit's owner whether a request may be sent, and answers as an owner.
+//! Distributed rate limiting: queries the owner of a limit before a request is sent, and replies to such queries as an owner.
 //!
-//! A limit is an organisation's, or one that an endpoint names (`limit`). What is decided stands in `coordination::quota`.
-//! The owner is the same at all nodes that hear of the same
-//! others, without agreement; one that does not answer is passed over for a while, and the next one asked.
+//! A limit is either an organisation's or one that an endpoint names (`limit`); `coordination::quota` decides. Nodes that see
+//! the same members choose the same owner, without agreement. An owner that doesn't reply is skipped for a while, and the next
+//! one is queried.
 
 use crate::event;
 use crate::limit;
@@ -25,123 +25,125 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Time for an owner's answer: a round trip of 3 ms, and the time for which the smallest VMs let a message wait
-/// in a burst. Two of them leave time for a call with a target of 120 ms.
-const ANSWER: Duration = Duration::from_millis(40);
+/// Timeout of a query: a round trip of 3 ms, plus the time for which a message waits on the smallest VMs during a burst.
+/// Two timeouts in a row still leave time for a call with a latency target of 120 ms.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time for which a late answer is waited for, in milliseconds, to give back what it grants.
-const LATE_ANSWER: u64 = 5_000;
+/// Time for which a query is remembered, so that a grant in a late reply can be refunded.
+const LATE_REPLY_MS: u64 = 5_000;
 
-/// Who ruled on a request.
+/// Who decided on a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Source {
-    /// The owner, or the next one in its place.
+    /// The owner, or the next node in its place.
     #[display("{_0}")]
     Owner(IpAddr),
-    /// This node, with its even share: no owner answered.
+    /// This node, from its even share, since no owner replied.
     #[display("alone")]
     Alone,
 }
 
-/// A question to an owner.
+/// A query to an owner that has no reply yet.
 #[derive(Debug)]
-struct Question {
-    waiting: oneshot::Sender<Verdict>,
+struct Query {
+    reply: oneshot::Sender<Verdict>,
     subject: Subject,
     cost: u32,
-    asked: Millis,
+    asked_at: Millis,
 }
 
-/// Limits as this node rules on them, and what it asks others.
+/// Token buckets of the limits that this node decides on, and its pending queries to other owners.
 #[derive(Debug)]
 pub struct Desk {
+    /// Limits that this node owns, or decides on in the owner's place.
     owned: Mutex<Quota>,
-    alone: Mutex<Quota>,
-    /// Questions that are not answered yet, by number.
-    pending: Mutex<HashMap<u32, Question>>,
-    /// Owners that did not answer.
-    silent: Mutex<HashMap<IpAddr, Misses>>,
-    next: AtomicU32,
+    /// Even shares, used while no owner replies.
+    shares: Mutex<Quota>,
+    /// Queries without a reply, by number.
+    pending: Mutex<HashMap<u32, Query>>,
+    /// Owners that did not reply.
+    unresponsive: Mutex<HashMap<IpAddr, Misses>>,
+    next_number: AtomicU32,
 }
 
 impl Desk {
-    /// Nothing used yet.
+    /// A limiter with nothing used yet.
     pub fn new(bound: Bound) -> Self {
         Self {
             owned: Mutex::new(Quota::new(bound)),
-            alone: Mutex::new(Quota::new(bound)),
+            shares: Mutex::new(Quota::new(bound)),
             pending: Mutex::default(),
-            silent: Mutex::default(),
-            next: AtomicU32::default(),
+            unresponsive: Mutex::default(),
+            next_number: AtomicU32::default(),
         }
     }
 
-    /// Notes a question to an owner; its number, and where the answer comes.
+    /// Registers a query to an owner; returns its number and the receiver of the reply.
     pub fn ask(
         &self,
         subject: Subject,
         cost: u32,
-        asked: Millis,
+        asked_at: Millis,
     ) -> (u32, oneshot::Receiver<Verdict>) {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let (waiting, answer) = oneshot::channel();
-        lock(&self.pending).insert(number, Question { waiting, subject, cost, asked });
-        (number, answer)
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let (reply, receiver) = oneshot::channel();
+        lock(&self.pending).insert(number, Query { reply, subject, cost, asked_at });
+        (number, receiver)
     }
 
-    /// Takes an owner's answer. What it granted to a request that waits no longer is to be given back: whose,
-    /// and how much.
+    /// Delivers an owner's reply. Returns the subject and cost to refund if it grants a request that no longer waits.
     pub fn hear(&self, number: u32, verdict: Verdict) -> Option<(Subject, u32)> {
-        let Question { waiting, subject, cost, .. } = lock(&self.pending).remove(&number)?;
-        let unheard = waiting.send(verdict).is_err();
-        (unheard && verdict == Verdict::Granted).then_some((subject, cost))
+        let Query { reply, subject, cost, .. } = lock(&self.pending).remove(&number)?;
+        let abandoned = reply.send(verdict).is_err();
+        (abandoned && verdict == Verdict::Granted).then_some((subject, cost))
     }
 
-    /// Takes back what another node was granted and did not use.
+    /// Refunds a grant that another node did not use.
     pub fn hear_back(&self, subject: Subject, cost: u32) {
         lock(&self.owned).give_back(subject.tag(), cost);
     }
 
-    /// Forgets what is over.
+    /// Removes expired state.
     pub fn tidy(&self, now: Millis) {
         lock(&self.owned).expire(now);
-        lock(&self.alone).expire(now);
-        lock(&self.silent).retain(|_, it| !it.forgotten(now));
-        lock(&self.pending).retain(|_, it| now.since(it.asked) < LATE_ANSWER);
+        lock(&self.shares).expire(now);
+        lock(&self.unresponsive).retain(|_, misses| !misses.forgotten(now));
+        lock(&self.pending).retain(|_, query| now.since(query.asked_at) < LATE_REPLY_MS);
     }
 }
 
-/// What a request took of a limit; given back when dropped, unless the request was sent.
+/// Cost granted from a limit; refunded on drop unless the request was sent.
 #[derive(Debug)]
 pub struct Grant {
     node: Arc<Node>,
-    taken: Option<Taken>,
+    charge: Option<Charge>,
     sent: AtomicBool,
 }
 
+/// Cost taken from a limit, and who granted it.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
+struct Charge {
     subject: Subject,
     cost: u32,
     source: Source,
 }
 
 impl Grant {
-    /// Of no limit.
+    /// A grant without a limit.
     pub fn unlimited(node: &Arc<Node>) -> Self {
         Self::new(node, None)
     }
 
-    fn new(node: &Arc<Node>, taken: Option<Taken>) -> Self {
-        Self { node: node.clone(), taken, sent: AtomicBool::new(false) }
+    fn new(node: &Arc<Node>, charge: Option<Charge>) -> Self {
+        Self { node: node.clone(), charge, sent: AtomicBool::new(false) }
     }
 
-    /// Notes that the request is sent; whether it was before.
+    /// Marks the request as sent; returns whether it was marked before.
     pub fn sent(&self) -> bool {
         self.sent.swap(true, Ordering::Relaxed)
     }
 
-    /// Notes that it does not count after all, nor before.
+    /// Marks the request as not sent, so that its cost is refunded.
     pub fn unsent(&self) {
         self.sent.store(false, Ordering::Relaxed);
     }
@@ -150,13 +152,13 @@
 impl Drop for Grant {
     fn drop(&mut self) {
         let unused = !self.sent.load(Ordering::Relaxed);
-        let Some(Taken { subject, cost, source }) = self.taken.filter(|_| unused) else {
+        let Some(Charge { subject, cost, source }) = self.charge.filter(|_| unused) else {
             return;
         };
-        let desk = self.node.desk(subject);
+        let limiter = self.node.desk(subject);
         match source {
-            Source::Alone => lock(&desk.alone).give_back(subject.tag(), cost),
-            Source::Owner(ip) if ip == self.node.settings.ip => desk.hear_back(subject, cost),
+            Source::Alone => lock(&limiter.shares).give_back(subject.tag(), cost),
+            Source::Owner(ip) if ip == self.node.settings.ip => limiter.hear_back(subject, cost),
             Source::Owner(ip) => {
                 peers::post(&self.node, &Message::GivenBack { subject, cost }, ip);
             }
@@ -164,14 +166,14 @@
     }
 }
 
-/// Takes what a request costs from its organisation's limit, if it has one.
+/// Takes a request's cost from its organisation's limit, if it has one.
 pub async fn take(
     node: &Arc<Node>,
     organisation: Option<&Organisation>,
     tokens: Option<u32>,
     request: &str,
 ) -> Result<Grant, Refusal> {
-    let limited = organisation.and_then(|it| it.limit.map(|limit| (it, limit)));
+    let limited = organisation.and_then(|known| known.limit.map(|limit| (known, limit)));
     let Some((organisation, limit)) = limited else {
         return Ok(Grant::unlimited(node));
     };
@@ -187,16 +189,16 @@
     }
 }
 
-/// What is asked for is over a limit.
+/// The requested cost exceeds a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Over {
-    /// Time until there should be room, in milliseconds.
+    /// Estimated time until there is room.
     pub wait_ms: u64,
-    /// Who ruled so.
+    /// Who decided.
     pub source: Source,
 }
 
-/// Takes something from a limit, as its owner rules.
+/// Takes a cost from a limit if its owner grants it.
 pub async fn ask(
     node: &Arc<Node>,
     subject: Subject,
@@ -204,78 +206,78 @@
     cost: u32,
 ) -> Result<Grant, Over> {
     let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
-    let (verdict, source) = rule(node, subject, ask).await;
+    let (verdict, source) = decide(node, subject, ask).await;
     if let Verdict::Over { wait: wait_ms } = verdict {
         return Err(Over { wait_ms, source });
     }
-    Ok(Grant::new(node, Some(Taken { subject, cost, source })))
+    Ok(Grant::new(node, Some(Charge { subject, cost, source })))
 }
 
-/// What the owner says, the next one in its place, or this node alone.
-async fn rule(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
+/// Verdict of the owner, of the next node in its place, or of this node alone.
+async fn decide(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
     let owners = owners(node, subject);
-    let desk = node.desk(subject);
+    let limiter = node.desk(subject);
     for owner in owners {
-        let silence = lock(&desk.silent).get(&owner).copied();
-        if silence.is_some_and(|it| it.passed_over(node.now())) {
+        let misses = lock(&limiter.unresponsive).get(&owner).copied();
+        if misses.is_some_and(|known| known.passed_over(node.now())) {
             continue;
         }
         let verdict = if owner == node.settings.ip {
-            Some(own(node, subject, ask))
+            Some(decide_as_owner(node, subject, ask))
         } else {
-            question(node, subject, ask, owner).await
+            query(node, subject, ask, owner).await
         };
         let Some(verdict) = verdict else {
-            lock(&desk.silent).entry(owner).or_default().miss(node.now());
+            lock(&limiter.unresponsive).entry(owner).or_default().miss(node.now());
             continue;
         };
-        lock(&desk.silent).remove(&owner);
+        lock(&limiter.unresponsive).remove(&owner);
         if verdict != Verdict::Unsure {
             return (verdict, Source::Owner(owner));
         }
     }
     let (_, known) = lock(&node.members).seen(node.now());
     let share = 1.0 / known as f64;
-    let ask = in_place(subject, ask);
-    (lock(&desk.alone).rule_alone(ask, share, node.now()), Source::Alone)
+    let ask = as_deputy(subject, ask);
+    (lock(&limiter.shares).rule_alone(ask, share, node.now()), Source::Alone)
 }
 
-/// Begins to count against a limit that this node owns.
+/// Starts the bucket of a limit, if this node owns it.
 pub fn begin(node: &Node, subject: Subject) {
     if owns(node, subject) {
         lock(&node.desk(subject).owned).begin(subject.tag(), node.now());
     }
 }
 
-/// Nodes that may rule on a limit, first choice first. Others no longer ask a node that is stopping, so it does not rule
-/// either.
+/// Nodes that may decide on a limit, in order of preference. Other nodes no longer query a stopping node, so it does not
+/// decide either.
 fn owners(node: &Node, subject: Subject) -> Vec<IpAddr> {
     let mut owners = lock(&node.members).owners(subject.tag(), node.now());
     if node.stopping.borrow().is_some() {
-        owners.retain(|it| *it != node.settings.ip);
+        owners.retain(|ip| *ip != node.settings.ip);
     }
     owners
 }
 
-/// Whether this node is a limit's first owner.
+/// Whether this node is the first owner of a limit.
 fn owns(node: &Node, subject: Subject) -> bool {
     owners(node, subject).first() == Some(&node.settings.ip)
 }
 
-/// What is asked for in the place of a limit's first owner, which may rule at the same time. What organisations may use beyond
-/// their limits covers that.
-fn in_place(subject: Subject, ask: Ask) -> Ask {
+/// Reduces a limit that is decided on in the place of its first owner, which may grant at the same time. Limits of
+/// organisations are not reduced: their tolerated overage covers it.
+fn as_deputy(subject: Subject, ask: Ask) -> Ask {
     match subject {
         Subject::Organisation(_) => ask,
         Subject::Endpoint(_) => Ask { limit: limits::deputy(ask.limit), ..ask },
     }
 }
 
-/// Rules on a request as the limit's owner, or in the owner's place.
-fn own(node: &Node, subject: Subject, mut ask: Ask) -> Verdict {
+/// Decides on a request as the limit's owner, or in the owner's place.
+fn decide_as_owner(node: &Node, subject: Subject, mut ask: Ask) -> Verdict {
     let now = node.now();
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
-        ask = in_place(subject, ask);
+        ask = as_deputy(subject, ask);
     }
     let (seen, known) = lock(&node.members).seen(now);
     let share = seen as f64 / known as f64;
@@ -289,32 +291,33 @@
     }
 }
 
-async fn question(node: &Node, subject: Subject, ask: Ask, owner: IpAddr) -> Option<Verdict> {
+/// Queries an owner over the network; `None` without a reply in time.
+async fn query(node: &Node, subject: Subject, ask: Ask, owner: IpAddr) -> Option<Verdict> {
     let cost = ask.cost;
-    let word = match subject {
+    let known = match subject {
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().word(endpoint),
     };
-    let (number, answer) = node.desk(subject).ask(subject, cost, node.now());
-    peers::post(node, &Message::Ask { number, subject, cost, word }, owner);
-    timeout(ANSWER, answer).await.ok()?.ok()
+    let (number, receiver) = node.desk(subject).ask(subject, cost, node.now());
+    peers::post(node, &Message::Ask { number, subject, cost, word: known }, owner);
+    timeout(QUERY_TIMEOUT, receiver).await.ok()?.ok()
 }
 
-/// Answers another node's question.
+/// Replies to another node's query.
 pub fn answer(node: &Node, number: u32, subject: Subject, cost: u32) -> Message {
-    let (limit, without) = match subject {
+    let (limit, default) = match subject {
         Subject::Organisation(organisation) => (configured(node, organisation), Verdict::Unsure),
-        // It names none any more, which the asker is told besides.
+        // The endpoint no longer names a limit; the querying node gets that update separately.
         Subject::Endpoint(endpoint) => (limit::of(node, endpoint), Verdict::Granted),
     };
-    let verdict = limit.map_or(without, |limit| {
+    let verdict = limit.map_or(default, |limit| {
         let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
-        own(node, subject, ask)
+        decide_as_owner(node, subject, ask)
     });
     Message::Ruled { number, subject, verdict }
 }
 
-/// An organisation's limit.
+/// Configured limit of an organisation.
 fn configured(node: &Node, organisation: Tag) -> Option<Limit> {
     let table = node.table()?;
     table.organisations.as_ref()?.named(organisation)?.limit
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -40,7 +40,7 @@
 
 /// Relays the events of one stream.
 pub struct Relay {
-    run: Run,
+    generation: Run,
     answer: Option<Answer>,
     events: Events,
     /// When to move the run away from a leaving engine.
@@ -64,10 +64,10 @@
 
 impl Relay {
     /// Starts to relay an engine's response.
-    pub fn new(run: Run, answer: Answer) -> Self {
+    pub fn new(generation: Run, answer: Answer) -> Self {
         let events = Events::default();
         Self {
-            run,
+            generation,
             answer: Some(answer),
             events,
             move_at: None,
@@ -106,7 +106,7 @@
                     return None;
                 }
                 Chunk::Stalled(spare) => {
-                    self.run.keep_spare(*spare);
+                    self.generation.keep_spare(*spare);
                     self.fail_over("engine silent").await;
                 }
                 Chunk::Broken(why) => {
@@ -134,7 +134,7 @@
     /// Drops a response that broke off, and checks whether its engine crashed while running the request.
     async fn drop_broken(&mut self) {
         if let Some(Answer { endpoint, began, .. }) = self.answer.take() {
-            let Run { node, call, .. } = &self.run;
+            let Run { node, call, .. } = &self.generation;
             quarantine::judge(node, call, &endpoint, began).await;
         }
     }
@@ -143,11 +143,11 @@
         let Some(answer) = &mut self.answer else {
             return Chunk::Broken("no engine");
         };
-        let (at, sent, began) = (answer.key(), self.run.sent, Instant::now());
-        let until = self.run.call.deadline.instant();
+        let (at, sent, started_at) = (answer.key(), self.generation.sent, Instant::now());
+        let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
-        let frame = self.run.unless_silent(at, sent, frame).await;
-        Meter::time(&self.run.node.meter.gap, began.elapsed());
+        let frame = self.generation.unless_silent(at, sent, frame).await;
+        Meter::time(&self.generation.node.meter.gap, started_at.elapsed());
         match frame {
             Err(spare) => Chunk::Stalled(Box::new(spare)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
@@ -163,7 +163,7 @@
         let Some(key) = self.answer.as_ref().map(Answer::key) else {
             return false;
         };
-        if self.moves_left == 0 || self.run.node.pool().usable(key) {
+        if self.moves_left == 0 || self.generation.node.pool().usable(key) {
             return false;
         }
         let now = Instant::now();
@@ -176,16 +176,16 @@
         self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
         let (source, key) =
             self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
-        let place = self.run.decoder(FULL, &[key])?;
-        let target = self.run.node.pool().get(place.0).cloned()?;
-        let mut seat = Seat::take(&self.run.node, place, self.run.tokens());
+        let place = self.generation.decoder(FULL, &[key])?;
+        let target = self.generation.node.pool().get(place.0).cloned()?;
+        let mut slot = Seat::take(&self.generation.node, place, self.generation.tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
-        seat.admit(&self.run.call.ask.id).await.ok()?;
-        if !self.run.node.take_repeat(&self.run.service) {
+        slot.admit(&self.generation.call.ask.id).await.ok()?;
+        if !self.generation.node.take_repeat(&self.generation.service) {
             return None;
         }
-        let request = engine::move_run(&source, &self.run.call.ask.id, target.address);
-        let control = self.run.node.control.clone();
+        let request = engine::move_run(&source, &self.generation.call.ask.id, target.address);
+        let control = self.generation.node.control.clone();
         let answer = control.call(source.address, request, MOVE_TIMEOUT).await;
         let outcome = match &answer {
             Ok(answer) => engine::moved(answer.status, &answer.body),
@@ -193,21 +193,22 @@
         };
         self.log_move(&source, &target, &outcome);
         // The source keeps the KV cache of the stopped run until it continues, so a run that the target refuses is not lost.
-        let mut stopped = Seat::take(&self.run.node, (key, 0.0), self.run.tokens());
+        let mut stopped = Seat::take(&self.generation.node, (key, 0.0), self.generation.tokens());
         stopped.excuse();
-        let (handle, seats) = match outcome {
-            Move::Copied { handle } => (handle, vec![seat, stopped]),
+        let (handle, slots) = match outcome {
+            Move::Copied { handle } => (handle, vec![slot, stopped]),
             Move::Stopped { handle } => (handle, vec![stopped]),
             Move::Ended | Move::Refused => return None,
         };
         self.move_at = None;
         let drained = self.drain().await;
-        self.continue_run(&source, &handle, seats).await;
+        self.continue_run(&source, &handle, slots).await;
         drained
     }
 
     fn log_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
-        let (request, from, to) = (self.run.call.ask.id.as_str(), from.id.as_str(), to.id.as_str());
+        let (request, from, to) =
+            (self.generation.call.ask.id.as_str(), from.id.as_str(), to.id.as_str());
         info!(request, from, to, outcome:? = outcome; "{}", event::MOVE);
     }
 
@@ -225,14 +226,14 @@
     }
 
     /// Continues a stopped run from its KV cache, at the first engine that does not refuse it.
-    async fn continue_run(&mut self, source: &Endpoint, handle: &str, seats: Vec<Seat>) {
+    async fn continue_run(&mut self, source: &Endpoint, handle: &str, slots: Vec<Seat>) {
         let last_event = self.last_event();
         let source = Some((source.address, handle));
         let purpose = Purpose::Decode { hold: None, source, last_event };
-        let until = self.run.call.deadline.instant();
+        let until = self.generation.call.deadline.instant();
         self.answer = None;
-        for seat in seats {
-            match exchange::send(&self.run.call, seat, &purpose, until).await {
+        for slot in slots {
+            match exchange::send(&self.generation.call, slot, &purpose, until).await {
                 Ok(answer) => self.answer = Some(answer),
                 Err(failure) if !failure.may_have_run() => continue,
                 Err(_) => {}
@@ -247,7 +248,7 @@
 
     /// Id of the last event that the caller has, relayed here or in the response that it resumes.
     fn last_event(&self) -> Option<u64> {
-        self.events.last_id().or(self.run.call.ask.last_event)
+        self.events.last_id().or(self.generation.call.ask.last_event)
     }
 
     /// Resumes the stream at other engines while attempts are left. Returns false if that is not allowed or failed.
@@ -258,8 +259,8 @@
             if let Some(denied) = self.resume_denied() {
                 break denied;
             }
-            let resumed = self.run.elsewhere(last).await;
-            self.run.node.meter.retried(Retry::Resumed);
+            let resumed = self.generation.elsewhere(last).await;
+            self.generation.node.meter.retried(Retry::Resumed);
             let (outcome, retry) = match &resumed {
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
@@ -281,8 +282,8 @@
 
     /// Why the stream may not be resumed, if so; otherwise takes a retry from the budget.
     fn resume_denied(&self) -> Option<&'static str> {
-        let Run { node, call, route, service, sent, .. } = &self.run;
-        if self.run.has_spare() {
+        let Run { node, call, route, service, sent, .. } = &self.generation;
+        if self.generation.has_spare() {
             return None;
         }
         if route.kind != (Kind::Stream { resumable: true }) {
@@ -302,7 +303,7 @@
     }
 
     fn log_resume(&self, why: &str, outcome: &str) {
-        let request = self.run.call.ask.id.as_str();
+        let request = self.generation.call.ask.id.as_str();
         let after = self.last_event().unwrap_or_default();
         info!(request, why, outcome, after; "{}", event::ATTEMPT);
     }
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -54,7 +54,7 @@
         let mut rounds = 0_u32;
         loop {
             let bound = match self.round(except).await {
-                Ok(hold) => return Ok(hold),
+                Ok(reservation) => return Ok(reservation),
                 Err(bound) => bound,
             };
             rounds += 1;
@@ -88,7 +88,7 @@
                 return Err(if tried.len() == excluded { "memory" } else { "reservations" });
             };
             match self.reserve_on(place, tokens).await {
-                Some(hold) => return Ok(hold),
+                Some(reservation) => return Ok(reservation),
                 None => tried.push(place.0),
             }
         }
@@ -108,9 +108,9 @@
     async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Hold> {
         let key = place.0;
         let engine = self.node.pool().get(key).cloned()?;
-        let mut seat = Seat::take(&self.node, place, self.tokens());
+        let mut slot = Seat::take(&self.node, place, self.tokens());
         // Before memory is reserved, which would stay unused without a permit.
-        seat.admit(&self.call.ask.id).await.ok()?;
+        slot.admit(&self.call.ask.id).await.ok()?;
         let request = engine::take_hold(&engine, tokens, self.engine.hold_limit);
         let answer = self.node.control.call(engine.address, request, RESERVE_TIMEOUT).await;
         let id = match &answer {
@@ -118,16 +118,16 @@
             Ok(answer) => {
                 debug!("reservation at {} refused: {}", engine.id, answer.status);
                 let full = answer.status == StatusCode::SERVICE_UNAVAILABLE;
-                seat.note(if full { Outcome::Refused } else { Outcome::Down });
+                slot.note(if full { Outcome::Refused } else { Outcome::Down });
                 None
             }
             Err(error) => {
                 debug!("reservation at {} failed: {error}", engine.id);
-                seat.note(exchange::outcome(error));
+                slot.note(exchange::outcome(error));
                 None
             }
         };
         let id = id?;
-        Some(Hold::new(&self.node, engine, id, seat))
+        Some(Hold::new(&self.node, engine, id, slot))
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -72,13 +72,13 @@
     /// Prefill engine that prefilled the prompt and may still cache it.
     prefilled_at: Option<Key>,
     /// Prepared next attempt, if the previous engine stalled.
-    spare: Option<Spare>,
+    failover: Option<Spare>,
 }
 
 /// Everything an attempt at another engine needs; its retry has been taken from the budget.
 #[derive(Debug)]
 pub struct Spare {
-    hold: Hold,
+    reservation: Hold,
     /// KV cache of the prompt, if it was prefilled at another engine.
     handle: Option<Handle>,
 }
@@ -92,17 +92,28 @@
             spent: call.ask.patience.map_or(0, |patience| node.spent(&route.name, patience)),
             resumes: call.ask.last_event.is_some(),
         };
-        let standing = Standing::from(&caller);
-        let (sent, prefilled_at, spare) = (0, None, None);
-        Self { node, call, route, service, engine, caller, standing, sent, prefilled_at, spare }
+        let timeliness = Standing::from(&caller);
+        let (attempts, prefilled_at, failover) = (0, None, None);
+        Self {
+            node,
+            call,
+            route,
+            service,
+            engine,
+            caller,
+            standing: timeliness,
+            sent: attempts,
+            prefilled_at,
+            failover,
+        }
     }
 
     /// Runs the request at engines and returns the event stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
-        let patience = Duration::from_millis(self.standing.wait(&self.caller));
-        let until = self.call.deadline.instant().min(self.call.arrived + patience);
+        let max_wait = Duration::from_millis(self.standing.wait(&self.caller));
+        let until = self.call.deadline.instant().min(self.call.arrived + max_wait);
         let hits = self.cache_hits().await;
-        let (mut hold, kept) = self.reserve_near_cache(&hits, until).await?;
+        let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
         stopping::check(&self.node, &self.route, &self.service, self.call.left())?;
         Meter::time(&self.node.meter.wait, self.call.arrived.elapsed());
@@ -110,12 +121,12 @@
             Reader::Decoding => None,
             Reader::Prefilling => self.first_prefill(hits.prefilling).await?,
         };
-        if !self.node.pool().usable(hold.key) {
+        if !self.node.pool().usable(reservation.key) {
             // The engine announced its departure during the prefill.
-            let until = self.call.deadline.instant().min(Instant::now() + patience);
-            hold = self.reserve(until, None).await?;
+            let until = self.call.deadline.instant().min(Instant::now() + max_wait);
+            reservation = self.reserve(until, None).await?;
         }
-        let answer = self.decode(&mut hold, handle.as_mut(), self.call.ask.last_event).await;
+        let answer = self.decode(&mut reservation, handle.as_mut(), self.call.ask.last_event).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => self.retry(failure).await?,
@@ -164,13 +175,13 @@
         until: Instant,
     ) -> Result<(Hold, Kept), Refusal> {
         if let Some(cached_at) = hits.decoding
-            && let Some(hold) = self.reserve_at(cached_at).await
+            && let Some(reservation) = self.reserve_at(cached_at).await
         {
-            return Ok((hold, Kept::Decoding));
+            return Ok((reservation, Kept::Decoding));
         }
-        let hold = self.reserve(until, None).await?;
+        let reservation = self.reserve(until, None).await?;
         let kept = hits.prefilling.map_or(Kept::Nowhere, |_| Kept::Prefilling);
-        Ok((hold, kept))
+        Ok((reservation, kept))
     }
 
     /// Chooses which kind of engine prefills the prompt.
@@ -229,44 +240,44 @@
     }
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
-        let began = Instant::now();
-        let seat = Seat::take(&self.node, place, self.call.ask.prompt);
-        let until = self.call.deadline.instant().min(began + PREFILL_TIMEOUT);
-        let answer = exchange::send(&self.call, seat, &Purpose::Prefill, until).await?;
+        let started_at = Instant::now();
+        let slot = Seat::take(&self.node, place, self.call.ask.prompt);
+        let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
+        let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
         answer.note(Outcome::Good);
         let (_, body) = answer.read(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
-        Meter::time(&self.node.meter.prefill, began.elapsed());
+        Meter::time(&self.node.meter.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
     /// Sends the request to the engine that granted the reservation.
     async fn decode(
         &mut self,
-        hold: &mut Hold,
+        reservation: &mut Hold,
         mut handle: Option<&mut Handle>,
         last_event: Option<u64>,
     ) -> Result<Answer, Failure> {
-        let Some(seat) = hold.seat.take() else {
+        let Some(slot) = reservation.seat.take() else {
             return Err(Failure::Unsent);
         };
         let source = handle.as_deref().and_then(Handle::source);
-        let purpose = Purpose::Decode { hold: hold.id.as_deref(), source, last_event };
-        let (at, until) = (seat.key, self.call.deadline.instant());
-        let sending = exchange::send(&self.call, seat, &purpose, until);
+        let purpose = Purpose::Decode { hold: reservation.id.as_deref(), source, last_event };
+        let (at, until) = (slot.key, self.call.deadline.instant());
+        let sending = exchange::send(&self.call, slot, &purpose, until);
         let answer = match self.unless_silent(at, self.sent + 1, sending).await {
             Ok(answer) => answer,
-            Err(spare) => {
-                self.spare = Some(spare);
+            Err(failover) => {
+                self.failover = Some(failover);
                 Err(Failure::Timeout)
             }
         };
         self.sent += u32::from(answer.as_ref().map_or_else(|failure| failure.sent(), |_| true));
         if answer.is_ok() {
-            hold.id = None;
+            reservation.id = None;
             if let Some(handle) = &mut handle {
                 handle.id = None;
             }
@@ -282,8 +293,8 @@
         sent: u32,
         attempt: impl Future<Output = T>,
     ) -> Result<T, Spare> {
-        let pause = Duration::from_millis(self.route.gap);
-        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (STALL_GAPS, pause) };
+        let gap = Duration::from_millis(self.route.gap);
+        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (STALL_GAPS, gap) };
         watch::unless_silent(watch, attempt, || self.prepare_failover(at, sent)).await
     }
 
@@ -295,10 +306,10 @@
             return None;
         }
         quarantine::check(&self.node, &self.call).ok()?;
-        let hold = self.reserve(self.resume_by(), Some(stalled)).await.ok()?;
+        let reservation = self.reserve(self.resume_by(), Some(stalled)).await.ok()?;
         // Without the prompt the failover is not safe: the other engine may be gone before it has prefilled it.
         let handle = self.refetch_prompt().await.ok()?;
-        let engine = self.node.pool().get(hold.key).cloned()?;
+        let engine = self.node.pool().get(reservation.key).cloned()?;
         if quarantine::refuses(engine.address).await {
             return None;
         }
@@ -306,13 +317,13 @@
             self.node.meter.retried(Retry::DeniedBudget);
             return None;
         }
-        Some(Spare { hold, handle })
+        Some(Spare { reservation, handle })
     }
 
     /// Latest time to wait for memory to resume a stream.
     fn resume_by(&self) -> Instant {
-        let patience = Duration::from_millis(admission::resume_wait(&self.caller));
-        self.call.deadline.instant().min(Instant::now() + patience)
+        let max_wait = Duration::from_millis(admission::resume_wait(&self.caller));
+        self.call.deadline.instant().min(Instant::now() + max_wait)
     }
 
     /// Retries at other engines after a failed attempt, while attempts and the retry budget allow.
@@ -323,7 +334,7 @@
         }
         let mut failure = failure;
         while !failure.barred() && self.sent < self.route.attempts.max(1) {
-            let prepaid = self.sent == 0 || self.spare.is_some();
+            let prepaid = self.sent == 0 || self.failover.is_some();
             if !prepaid && !self.node.take_repeat(&self.service) {
                 self.node.meter.retried(Retry::DeniedBudget);
                 break;
@@ -347,14 +358,14 @@
     /// Runs the request at another engine, from after the given event.
     pub async fn elsewhere(&mut self, last_event: Option<u64>) -> Result<Answer, Option<Failure>> {
         quarantine::check(&self.node, &self.call).map_err(Some)?;
-        let Spare { mut hold, mut handle } = match self.spare.take() {
-            Some(spare) => spare,
+        let Spare { mut reservation, mut handle } = match self.failover.take() {
+            Some(failover) => failover,
             None => {
-                let hold = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
-                Spare { hold, handle: self.refetch_prompt().await.unwrap_or_default() }
+                let reservation = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
+                Spare { reservation, handle: self.refetch_prompt().await.unwrap_or_default() }
             }
         };
-        self.decode(&mut hold, handle.as_mut(), last_event).await.map_err(Some)
+        self.decode(&mut reservation, handle.as_mut(), last_event).await.map_err(Some)
     }
 
     /// Fetches the prompt's KV cache from the engine that prefilled it, which usually still has it: a new prefill at the
@@ -370,12 +381,12 @@
 
     /// Whether a next attempt is prepared.
     pub fn has_spare(&self) -> bool {
-        self.spare.is_some()
+        self.failover.is_some()
     }
 
     /// Stores a prepared next attempt.
-    pub fn keep_spare(&mut self, spare: Spare) {
-        self.spare = Some(spare);
+    pub fn keep_spare(&mut self, failover: Spare) {
+        self.failover = Some(failover);
     }
 
     fn relay(self, answer: Answer) -> Response<Reply> {
