--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -95,8 +95,8 @@
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        let ran_ms = self.began.map_or(0, |started_at| self.node.now().since(started_at));
-        let innocent = self.well || ran_ms >= INNOCENT;
+        let ran = self.began.map_or(0, |started_at| self.node.now().since(started_at));
+        let innocent = self.well || ran >= INNOCENT;
         let mut quarantine = self.node.quarantine();
         let cleared = innocent && quarantine.clear(self.request);
         if !innocent {
@@ -105,7 +105,7 @@
         drop(quarantine);
         if cleared {
             let why = if self.well { "it ran well" } else { "its run went on" };
-            info!(fingerprint:% = self.request, ran_ms, why; "{}", event::FORGOTTEN);
+            info!(fingerprint:% = self.request, ran_ms = ran, why; "{}", event::FORGOTTEN);
         }
         self.node.suspected.notify_one();
     }
