--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -44,13 +44,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Keepers {
     /// Decode engine, which can generate from it.
-    pub decoding: Option<Key>,
+    pub decode: Option<Key>,
     /// Prefill engine, which can transfer it.
-    pub prefilling: Option<Key>,
+    pub prefill: Option<Key>,
 }
 
 /// Finds the engines of a service that cache the last part of a request's prompt.
-pub async fn find(node: &Node, service: &str, request: &str, part: &str) -> Keepers {
+pub async fn lookup(node: &Node, service: &str, request: &str, part: &str) -> Keepers {
     let mut listings = node.lists.0.lock().await;
     let fresh = listings
         .get(service)
@@ -65,9 +65,9 @@
             engines.iter().filter(|engine| engine.stage == stage && engine.parts.contains(part));
         hits.next().map(|engine| engine.key)
     };
-    let hits = Keepers { decoding: hit(Stage::Decode), prefilling: hit(Stage::Prefill) };
+    let hits = Keepers { decode: hit(Stage::Decode), prefill: hit(Stage::Prefill) };
     let (asked, decoding, prefilling) =
-        (engines.len(), hits.decoding.is_some(), hits.prefilling.is_some());
+        (engines.len(), hits.decode.is_some(), hits.prefill.is_some());
     info!(request, prompt = part, asked, decoding, prefilling; "{}", event::CACHED);
     hits
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Timeout to open a connection: a round trip of a few milliseconds, with room for one lost packet.
-pub const CONNECT: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Longest response to a control call.
 const MAX_RESPONSE_BYTES: usize = 65_536;
@@ -53,7 +53,7 @@
         let until = Instant::now() + timeout;
         let mut connection = match self.idle.take(to) {
             Some(connection) => connection,
-            None => Connection::open(to, CONNECT.min(timeout)).await?,
+            None => Connection::open(to, CONNECT_TIMEOUT.min(timeout)).await?,
         };
         let response = connection.send(request, until).await?;
         let status = response.status();
@@ -63,12 +63,12 @@
             Ok(Err(error)) => return Err(Error::Broken { to, message: error.to_string() }),
             Ok(Ok(body)) => body.to_bytes(),
         };
-        self.idle.keep(to, connection);
+        self.idle.put_back(to, connection);
         Ok(Answer { status, body })
     }
 
     /// Closes connections that were idle for too long.
-    pub fn tidy(&self) {
-        self.idle.tidy();
+    pub fn remove_expired(&self) {
+        self.idle.remove_expired();
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -3,7 +3,7 @@
 //! An attempt counts towards the endpoint's load until its response has been read or dropped. Dropping the response
 //! closes the connection, which makes the endpoint abort the run.
 
-use crate::control::CONNECT;
+use crate::control::CONNECT_TIMEOUT;
 use crate::event;
 use crate::limit;
 use crate::meter::Retry;
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Parsed headers.
-    pub ask: Arc<Ask>,
+    pub metadata: Arc<Ask>,
     /// HTTP method.
     pub method: Method,
     /// Path and query.
@@ -47,29 +47,30 @@
     /// Deadline: the earlier of the caller's deadline and the route's timeout.
     pub deadline: Deadline,
     /// Fingerprint, computed on first use.
-    pub print: Arc<OnceLock<Fingerprint>>,
+    pub fingerprint: Arc<OnceLock<Fingerprint>>,
     /// Tokens taken from its organisation's rate limit.
     pub grant: Arc<Grant>,
 }
 
 impl Call {
     /// Time left until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.deadline.left()
     }
 
     /// Hash of what a repeat of the request has in common with it: host, method, path, caller and body. Request ids,
     /// deadlines and caller addresses differ between repeats, so the caller is identified by its organisation and credentials.
     pub fn fingerprint(&self) -> Fingerprint {
-        *self.print.get_or_init(|| self.digest())
+        *self.fingerprint.get_or_init(|| self.digest())
     }
 
     fn digest(&self) -> Fingerprint {
         let uri = self.uri.to_string();
-        let credential = |name| self.ask.headers.get(name).map_or(&[][..], HeaderValue::as_bytes);
+        let credential =
+            |name| self.metadata.headers.get(name).map_or(&[][..], HeaderValue::as_bytes);
         let (authorization, cookie) = (credential(AUTHORIZATION), credential(COOKIE));
-        let (host, method) = (self.ask.host.as_bytes(), self.method.as_str().as_bytes());
-        let organisation = self.ask.organisation.as_deref().unwrap_or_default().as_bytes();
+        let (host, method) = (self.metadata.host.as_bytes(), self.method.as_str().as_bytes());
+        let organisation = self.metadata.organisation.as_deref().unwrap_or_default().as_bytes();
         let caller = [authorization, cookie, organisation];
         Fingerprint::of(&[host, method, uri.as_bytes(), &caller.concat(), &self.body])
     }
@@ -86,7 +87,7 @@
     Refused,
     /// Not sent: the endpoint is at its rate limit.
     #[display("limited")]
-    Limited,
+    RateLimited,
     /// Sent, but no usable response arrived.
     #[display("broken")]
     Broken,
@@ -95,10 +96,10 @@
     Timeout,
     /// Not sent: endpoints crashed while running it, and another copy is being probed.
     #[display("on trial")]
-    OnTrial,
+    ProbeRunning,
     /// Not sent: blocked, since too many endpoints crashed while running it.
     #[display("shut out")]
-    ShutOut,
+    Blocked,
 }
 
 impl Failure {
@@ -108,13 +109,13 @@
     }
 
     /// Whether the request reached an endpoint.
-    pub fn sent(self) -> bool {
+    pub fn was_sent(self) -> bool {
         matches!(self, Self::Refused | Self::Broken | Self::Timeout)
     }
 
     /// Whether quarantine keeps the request from every endpoint for now.
-    pub fn barred(self) -> bool {
-        matches!(self, Self::OnTrial | Self::ShutOut)
+    pub fn quarantined(self) -> bool {
+        matches!(self, Self::ProbeRunning | Self::Blocked)
     }
 }
 
@@ -133,14 +134,14 @@
 
 impl Seat {
     /// Counts a request, with its KV cache tokens, at the chosen endpoint.
-    pub fn take(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
+    pub fn acquire(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
         node.pool().enter(key, tokens);
         node.updated.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
 
     /// Acquires a permit from the endpoint's rate limit, if it has one.
-    pub async fn admit(&mut self, request: &str) -> Result<(), Failure> {
+    pub async fn acquire_permit(&mut self, request: &str) -> Result<(), Failure> {
         if self.permit.is_none() {
             self.permit = Some(limit::admit(&self.node, self.key, request).await?);
         }
@@ -148,12 +149,12 @@
     }
 
     /// Skips the rate limit: the endpoint has the run already, so it is not a new request there.
-    pub fn excuse(&mut self) {
+    pub fn skip_rate_limit(&mut self) {
         self.permit = Some(Grant::unlimited(&self.node));
     }
 
     /// Records how the request ended at the endpoint.
-    pub fn note(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         self.node.pool().note(self.key, outcome, self.node.now());
     }
 }
@@ -177,10 +178,10 @@
     /// Endpoint that responded.
     pub endpoint: Endpoint,
     /// When the response head arrived: engines send it with the first token, so the run starts then.
-    pub began: Millis,
-    seat: Seat,
+    pub started_at: Millis,
+    slot: Seat,
     /// Probe run, if the request is suspected of crashing endpoints.
-    trial: Option<Trial>,
+    probe: Option<Trial>,
     /// Connection; closed on drop unless the whole response was read and the connection is reusable.
     connection: Option<Connection>,
     /// Whether the connection may be reused.
@@ -189,34 +190,34 @@
 
 impl Answer {
     /// Records how the request ended at the endpoint.
-    pub fn note(&self, outcome: Outcome) {
-        self.seat.note(outcome);
+    pub fn record_outcome(&self, outcome: Outcome) {
+        self.slot.record_outcome(outcome);
     }
 
     /// Ends the probe run, which holds back other attempts at a suspect request.
-    pub fn rest(&mut self) {
-        self.trial = None;
+    pub fn end_probe(&mut self) {
+        self.probe = None;
     }
 
     /// Records that the response is complete, and returns the connection for reuse.
-    pub fn ended_well(&mut self) {
-        if let Some(probe) = &mut self.trial {
-            probe.well = true;
+    pub fn complete(&mut self) {
+        if let Some(probe) = &mut self.probe {
+            probe.completed = true;
         }
         if self.reusable
             && let Some(connection) = self.connection.take()
         {
-            self.seat.node.idle.keep(self.endpoint.address, connection);
+            self.slot.node.idle.put_back(self.endpoint.address, connection);
         }
     }
 
     /// Endpoint's key in the pool.
     pub fn key(&self) -> Key {
-        self.seat.key
+        self.slot.key
     }
 
     /// Reads the whole body, up to a length limit.
-    pub async fn read(
+    pub async fn read_body(
         mut self,
         call: &Call,
         limit: usize,
@@ -225,17 +226,17 @@
         match timeout_at(until, Limited::new(&mut self.body, limit).collect()).await {
             Err(_) => Err(Failure::Timeout),
             Ok(Ok(body)) => {
-                self.ended_well();
+                self.complete();
                 Ok((self.parts, body.to_bytes()))
             }
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-                self.note(Outcome::Error);
+                self.record_outcome(Outcome::Error);
                 Err(Failure::Broken)
             }
             Ok(Err(_)) => {
-                self.note(Outcome::Failed);
-                let Self { endpoint, began, seat, .. } = self;
-                quarantine::judge(&seat.node, call, &endpoint, began).await;
+                self.record_outcome(Outcome::Failed);
+                let Self { endpoint, started_at: began, slot: seat, .. } = self;
+                quarantine::check_for_crash(&seat.node, call, &endpoint, began).await;
                 Err(Failure::Broken)
             }
         }
@@ -253,7 +254,7 @@
     let Some(endpoint) = node.pool().get(slot.key).cloned() else {
         return Err(Failure::Unsent);
     };
-    slot.admit(&call.ask.id).await?;
+    slot.acquire_permit(&call.metadata.id).await?;
     let mut probe = quarantine::admit(&node, call, &endpoint, purpose).await?;
     log_placement(&node, call, &slot, &endpoint, purpose);
     let sent_at = node.now();
@@ -262,7 +263,7 @@
     let sent_before = runs && call.grant.sent();
     let mark_unsent = || {
         if runs && !sent_before {
-            call.grant.unsent();
+            call.grant.mark_unsent();
         }
     };
     slot.permit.iter().for_each(|permit| {
@@ -275,17 +276,17 @@
             let failure = Failure::from(&error);
             if !failure.may_have_run() {
                 mark_unsent();
-                slot.permit.iter().for_each(Grant::unsent);
+                slot.permit.iter().for_each(Grant::mark_unsent);
             }
-            slot.note(outcome(&error));
+            slot.record_outcome(error_outcome(&error));
             log_failure(call, &endpoint, failure, &error.to_string());
             if failure == Failure::Broken {
-                quarantine::judge(&node, call, &endpoint, sent_at).await;
+                quarantine::check_for_crash(&node, call, &endpoint, sent_at).await;
             }
             return Err(failure);
         }
     };
-    let head = Head::read(&parts, &call.ask.id);
+    let head = Head::read(&parts, &call.metadata.id);
     if let Some(load) = head.load {
         node.pool().load(slot.key, load, node.now());
     }
@@ -300,33 +301,23 @@
         }
         // An endpoint that names a rate limit refuses to enforce it; that is no reason to avoid it.
         if outcome != Outcome::Refused || node.limits().rate(endpoint.tag()).is_none() {
-            slot.note(outcome);
+            slot.record_outcome(outcome);
         }
         log_failure(call, &endpoint, failure, &parts.status.to_string());
         if failure == Failure::Refused && matches!(purpose, Purpose::Run) {
-            node.idle.keep_after(endpoint.address, connection, body);
+            node.idle.put_back_after(endpoint.address, connection, body);
         }
         return Err(failure);
     }
     if parts.status.is_server_error() {
-        let (request, to) = (call.ask.id.as_str(), endpoint.id.as_str());
+        let (request, to) = (call.metadata.id.as_str(), endpoint.id.as_str());
         let status = parts.status.as_u16();
         info!(request, to, status, outcome = "error"; "{}", event::ATTEMPT);
     }
     let started_at = node.now();
-    probe.iter_mut().for_each(|running| running.began = Some(started_at));
+    probe.iter_mut().for_each(|running| running.started_at = Some(started_at));
     let (connection, reusable) = (Some(connection), matches!(purpose, Purpose::Run));
-    Ok(Answer {
-        parts,
-        head,
-        body,
-        endpoint,
-        began: started_at,
-        seat: slot,
-        trial: probe,
-        connection,
-        reusable,
-    })
+    Ok(Answer { parts, head, body, endpoint, started_at, slot, probe, connection, reusable })
 }
 
 /// Logs where a request is sent and the load behind the choice.
@@ -337,7 +328,7 @@
     endpoint: &Endpoint,
     purpose: &Purpose<'_>,
 ) {
-    let request = call.ask.id.as_str();
+    let request = call.metadata.id.as_str();
     let to = endpoint.id.as_str();
     let purpose = match purpose {
         Purpose::Run => "run",
@@ -346,8 +337,8 @@
         Purpose::Decode { source: None, .. } => "prefill and decode",
     };
     let (load, offset) = (slot.load, node.mirror().ends().endpoints);
-    let left_ms = call.left().as_millis() as u64;
-    let prompt = call.ask.part.as_deref().unwrap_or_default();
+    let left_ms = call.remaining().as_millis() as u64;
+    let prompt = call.metadata.part.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
 }
 
@@ -366,13 +357,13 @@
             // The endpoint closed the connection while it was idle.
             Err(error) if !error.sent() => continue,
             Err(error) => {
-                node.idle.forget(to);
+                node.idle.close_all(to);
                 return Err(error);
             }
             received => return received,
         }
     }
-    let connect = CONNECT.min(until.saturating_duration_since(Instant::now()));
+    let connect = CONNECT_TIMEOUT.min(until.saturating_duration_since(Instant::now()));
     let connection = Connection::open(to, connect).await?;
     send_over(connection, build_request(call, endpoint, purpose), until).await
 }
@@ -392,7 +383,7 @@
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = call.ask.headers(&endpoint.id, call.left(), purpose);
+    *request.headers_mut() = call.metadata.headers(&endpoint.id, call.remaining(), purpose);
     request
 }
 
@@ -418,14 +409,14 @@
 }
 
 fn log_failure(call: &Call, endpoint: &Endpoint, failure: Failure, why: &str) {
-    let request = call.ask.id.as_str();
-    let left_ms = call.left().as_millis() as u64;
+    let request = call.metadata.id.as_str();
+    let left_ms = call.remaining().as_millis() as u64;
     let to = endpoint.id.as_str();
     info!(request, to, failure:% = failure, why, left_ms; "{}", event::ATTEMPT);
 }
 
 /// Outcome of a connection error for the endpoint's health.
-pub fn outcome(error: &Error) -> Outcome {
+pub fn error_outcome(error: &Error) -> Outcome {
     if error.sent() { Outcome::Failed } else { Outcome::Down }
 }
 
@@ -433,10 +424,10 @@
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::Unsent => Self::Unreachable,
-            Failure::Limited => Self::Limited,
+            Failure::RateLimited => Self::RateLimited,
             Failure::Refused => Self::Refused,
             Failure::Broken | Failure::Timeout => Self::Broken,
-            Failure::OnTrial | Failure::ShutOut => Self::Barred,
+            Failure::ProbeRunning | Failure::Blocked => Self::Quarantined,
         }
     }
 }
@@ -445,12 +436,12 @@
     fn from(failure: Failure) -> Self {
         match failure {
             Failure::Unsent => Self::NoEndpoint,
-            Failure::Limited => Self::Limited,
+            Failure::RateLimited => Self::RateLimited,
             Failure::Refused => Self::Refused,
             Failure::Broken => Self::Broken,
             Failure::Timeout => Self::Timeout,
-            Failure::OnTrial => Self::OnTrial,
-            Failure::ShutOut => Self::ShutOut,
+            Failure::ProbeRunning => Self::ProbeRunning,
+            Failure::Blocked => Self::Blocked,
         }
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -4,7 +4,7 @@
 use crate::event;
 use crate::exchange::Call;
 use crate::node::{Node, Open, Reply};
-use crate::refusal::{COME_BACK, Reason, Refusal};
+use crate::refusal::{RETRY_AFTER, Reason, Refusal};
 use crate::{plain, quarantine, quota, stopping, stream};
 use bytes::Bytes;
 use crosslane_coordination::identity;
@@ -110,9 +110,9 @@
     let mut response = match result {
         Ok(response) => response,
         Err(refusal) => {
-            node.meter.refused(refusal.reason);
+            node.meter.count_refusal(refusal.reason);
             entry.ending = refusal.reason.name();
-            refusal.answer(id.as_deref())
+            refusal.into_response(id.as_deref())
         }
     };
     if node.stopping.borrow().is_some() {
@@ -133,10 +133,10 @@
     entry: &mut LogEntry,
 ) -> Result<Response<Reply>, Refusal> {
     let Some(mut table) = node.table() else {
-        return Err(Refusal::later(Reason::NotReady, COME_BACK));
+        return Err(Refusal::retry_after(Reason::NotReady, RETRY_AFTER));
     };
     if !node.caught_up() {
-        return Err(Refusal::later(Reason::NotReady, COME_BACK));
+        return Err(Refusal::retry_after(Reason::NotReady, RETRY_AFTER));
     }
     let arrived = entry.arrived;
     let (head, body) = request.into_parts();
@@ -164,8 +164,7 @@
     let method = head.method;
     let grant = quota::take(node, organisation, ask.tokens(), &ask.id).await?;
     let (metadata, fingerprint, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
-    let call =
-        Call { ask: metadata, method, uri, body, arrived, deadline, print: fingerprint, grant };
+    let call = Call { metadata, method, uri, body, arrived, deadline, fingerprint, grant };
     quarantine::check(node, &call).map_err(|failure| quarantine::refusal(node, &call, failure))?;
     let engine = table.services.get(service).and_then(|config| config.engine);
     match (route.kind, engine) {
@@ -190,8 +189,8 @@
 
 async fn read_body(body: Incoming, limits: Limits, left: Duration) -> Result<Bytes, Refusal> {
     http::read(body, limits.body_bytes, left).await.map_err(|error| match error {
-        ReadError::TooLong => Reason::TooLong.into(),
-        ReadError::Incomplete => Refusal::later(Reason::Incomplete, COME_BACK),
+        ReadError::TooLong => Reason::BodyTooLong.into(),
+        ReadError::Incomplete => Refusal::retry_after(Reason::BodyIncomplete, RETRY_AFTER),
     })
 }
 
@@ -271,7 +270,7 @@
 
 impl Drop for LogEntry {
     fn drop(&mut self) {
-        self.node.meter.ending(self.ending);
+        self.node.meter.count_ending(self.ending);
         if let Some(open) = self.open.take() {
             self.node.end(open, self.ending == ANSWERED && self.status.is_success());
         }
@@ -331,7 +330,7 @@
 }
 
 /// Serves the metrics under their path, and readiness under every other path.
-pub async fn status(node: Arc<Node>, listener: TcpListener, metrics: &'static str) {
+pub async fn serve_status(node: Arc<Node>, listener: TcpListener, metrics: &'static str) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
@@ -356,7 +355,7 @@
 
 fn status_response(node: &Node, path: &str, metrics: &str) -> Response<Reply> {
     let (status, body) = match path {
-        path if path == metrics => match node.meter.text() {
+        path if path == metrics => match node.meter.encode() {
             Ok(text) => (StatusCode::OK, Bytes::from(text)),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string().into()),
         },
--- a/crates/gateway/src/hold.rs
+++ b/crates/gateway/src/hold.rs
@@ -25,13 +25,13 @@
     /// Reservation's id at the engine; `None` once used.
     pub id: Option<String>,
     /// The request in flight at the engine; `None` once used.
-    pub seat: Option<Seat>,
+    pub slot: Option<Seat>,
 }
 
 impl Hold {
     /// Wraps a reservation that an engine granted.
     pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, slot: Seat) -> Self {
-        Self { node: node.clone(), engine, key: slot.key, id: Some(id), seat: Some(slot) }
+        Self { node: node.clone(), engine, key: slot.key, id: Some(id), slot: Some(slot) }
     }
 }
 
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -42,27 +42,27 @@
     }
 
     /// Returns a connection once its last response has been read.
-    pub fn keep(&self, to: SocketAddr, mut connection: Connection) {
+    pub fn put_back(&self, to: SocketAddr, mut connection: Connection) {
         let pool = self.clone();
         tokio::spawn(async move {
             if connection.reusable().await {
-                pool.put(to, connection);
+                pool.insert(to, connection);
             }
         });
     }
 
     /// Returns a connection once the unneeded body of its last response has been read.
-    pub fn keep_after(&self, to: SocketAddr, connection: Connection, body: Incoming) {
+    pub fn put_back_after(&self, to: SocketAddr, connection: Connection, body: Incoming) {
         let pool = self.clone();
         tokio::spawn(async move {
             let drained = Limited::new(body, MAX_DRAIN_BYTES).collect();
             if matches!(timeout(DRAIN_TIMEOUT, drained).await, Ok(Ok(_))) {
-                pool.keep(to, connection);
+                pool.put_back(to, connection);
             }
         });
     }
 
-    fn put(&self, to: SocketAddr, connection: Connection) {
+    fn insert(&self, to: SocketAddr, connection: Connection) {
         let mut idle = lock(&self.connections);
         let connections = idle.entry(to).or_default();
         if connections.len() < self.max_per_endpoint {
@@ -71,12 +71,12 @@
     }
 
     /// Closes all idle connections to an endpoint: what broke one may have broken the others.
-    pub fn forget(&self, to: SocketAddr) {
+    pub fn close_all(&self, to: SocketAddr) {
         lock(&self.connections).remove(&to);
     }
 
     /// Closes connections that were idle for too long.
-    pub fn tidy(&self) {
+    pub fn remove_expired(&self) {
         let mut idle = lock(&self.connections);
         idle.values_mut().for_each(|connections| {
             connections.retain(|connection| connection.fresh(self.max_idle));
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -63,7 +63,7 @@
 }
 
 /// Merges what a querying node knows of a limit, and sends it the newer state if it is behind.
-pub fn hear_asker(node: &Node, subject: Subject, theirs: Option<Word>, from: IpAddr) {
+pub fn sync_with_querier(node: &Node, subject: Subject, theirs: Option<Word>, from: IpAddr) {
     let (Subject::Endpoint(endpoint), Some(theirs)) = (subject, theirs) else {
         return;
     };
@@ -77,7 +77,7 @@
 /// Applies a changed limit to the bucket and to the pool, and logs it.
 fn apply(node: &Node, endpoint: Tag, change: Change, source: impl Display) {
     if change.rate.is_some() {
-        quota::begin(node, Subject::Endpoint(endpoint));
+        quota::start_bucket(node, Subject::Endpoint(endpoint));
     }
     let mut pool = node.pool();
     pool.let_in(endpoint, change.rate.is_none(), node.now());
@@ -93,14 +93,14 @@
 }
 
 /// Limit of an endpoint for all nodes together, if it names one.
-pub fn of(node: &Node, endpoint: Tag) -> Option<Limit> {
+pub fn endpoint_limit(node: &Node, endpoint: Tag) -> Option<Limit> {
     node.limits().rate(endpoint).map(limits::limit)
 }
 
 /// Takes a request's cost from the limit of an endpoint, if it names one.
 pub async fn admit(node: &Arc<Node>, key: Key, request: &str) -> Result<Grant, Failure> {
     let endpoint = node.pool().get(key).map(Endpoint::tag).ok_or(Failure::Unsent)?;
-    let Some(limit) = of(node, endpoint) else {
+    let Some(limit) = endpoint_limit(node, endpoint) else {
         return Ok(Grant::unlimited(node));
     };
     match quota::ask(node, Subject::Endpoint(endpoint), limit, COST).await {
@@ -110,7 +110,7 @@
             pool.hold_back(key, node.now() + wait_ms);
             let to = pool.get(key).map(|listed| listed.id.as_str()).unwrap_or_default();
             info!(request, to, wait_ms, source:%; "{}", event::HELD_BACK);
-            Err(Failure::Limited)
+            Err(Failure::RateLimited)
         }
     }
 }
@@ -118,7 +118,7 @@
 /// Refusal if all endpoints that could serve a request are at their limits.
 pub fn refusal(node: &Node, service: &str, stage: Stage) -> Option<Refusal> {
     let wait = node.pool().held_for(service, stage, node.now())?;
-    Some(Refusal::later(Reason::Limited, Duration::from_millis(wait)))
+    Some(Refusal::retry_after(Reason::RateLimited, Duration::from_millis(wait)))
 }
 
 /// Refusal of a stream if no engine's limit will have room by a time.
@@ -129,12 +129,12 @@
 }
 
 /// Removes expired state, and the limits of endpoints that are gone.
-pub fn tidy(node: &Node) {
+pub fn remove_expired(node: &Node) {
     let now = node.now();
-    node.throttle.tidy(now);
+    node.throttle.remove_expired(now);
     lock(&node.queues).expire(now);
     let pool = node.pool();
     let mut limits = node.limits();
     limits.expire(|endpoint| pool.key(endpoint).is_some(), now);
-    node.meter.limited.set(limits.count() as i64);
+    node.meter.limited_endpoints.set(limits.count() as i64);
 }
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -20,7 +20,7 @@
     /// The endpoint could not be reached.
     Unreachable,
     /// The endpoint was at its rate limit.
-    Limited,
+    RateLimited,
     /// The endpoint refused the request without running it.
     Refused,
     /// The endpoint broke off.
@@ -32,19 +32,19 @@
     /// Denied: the retry budget is exhausted.
     DeniedBudget,
     /// Denied: the request is quarantined.
-    Barred,
+    Quarantined,
 }
 
 /// Every retry reason with its metric label, in the order of `Retry`.
 pub const RETRIES: [(Retry, &str); 8] = [
     (Retry::Unreachable, "unreachable"),
-    (Retry::Limited, "limited"),
+    (Retry::RateLimited, "limited"),
     (Retry::Refused, "refused"),
     (Retry::Broken, "broken"),
     (Retry::Error, "error"),
     (Retry::Resumed, "resumed"),
     (Retry::DeniedBudget, "denied_budget"),
-    (Retry::Barred, "barred"),
+    (Retry::Quarantined, "barred"),
 ];
 
 /// All metrics of a node.
@@ -62,25 +62,25 @@
     /// Endpoints that crashed right after they started to run a request.
     pub strikes: IntCounter,
     /// Endpoints that stalled during an attempt.
-    pub silences: IntCounter,
+    pub stalls: IntCounter,
     /// Endpoints that name a rate limit.
-    pub limited: IntGauge,
+    pub limited_endpoints: IntGauge,
     /// Blocked requests.
-    pub shut_out: IntGauge,
+    pub blocked_requests: IntGauge,
     /// Bytes of store records sent to other nodes.
-    pub told_bytes: IntCounter,
+    pub sent_bytes: IntCounter,
     /// Duration of a pull from another node.
     pub pull: Histogram,
     /// Time from the arrival of a request to the first byte or event of its response.
-    pub first: Histogram,
+    pub first_byte: Histogram,
     /// Time from the arrival of a request until memory was reserved at an engine.
-    pub wait: Histogram,
+    pub reservation_wait: Histogram,
     /// Duration of a prefill.
     pub prefill: Histogram,
     /// Gaps between events.
-    pub gap: Histogram,
+    pub event_gap: Histogram,
     /// Version of the configuration in force.
-    pub version: IntGauge,
+    pub configuration_version: IntGauge,
     /// Known endpoints.
     pub endpoints: IntGauge,
     /// Other live nodes.
@@ -121,16 +121,22 @@
             pull_failures: counter("crosslane_pull_failures", "Failed pulls from other nodes")?,
             skipped_records: counter("crosslane_skipped_records", "Endpoints' records not used")?,
             strikes: counter("crosslane_strikes", "Endpoints that ended under a request")?,
-            silences: counter("crosslane_silences", "Endpoints that fell silent")?,
-            limited: gauge("crosslane_limited_endpoints", "Endpoints that name a limit")?,
-            shut_out: gauge("crosslane_shut_out", "Requests that are shut out")?,
-            told_bytes: counter("crosslane_told_bytes", "Bytes of records handed to other nodes")?,
+            stalls: counter("crosslane_silences", "Endpoints that fell silent")?,
+            limited_endpoints: gauge("crosslane_limited_endpoints", "Endpoints that name a limit")?,
+            blocked_requests: gauge("crosslane_shut_out", "Requests that are shut out")?,
+            sent_bytes: counter("crosslane_told_bytes", "Bytes of records handed to other nodes")?,
             pull: histogram("crosslane_pull_seconds", "Time of a pull from another node")?,
-            first: histogram("crosslane_first_seconds", "Time to the first byte or event")?,
-            wait: histogram("crosslane_reserve_seconds", "Time until memory was reserved")?,
+            first_byte: histogram("crosslane_first_seconds", "Time to the first byte or event")?,
+            reservation_wait: histogram(
+                "crosslane_reserve_seconds",
+                "Time until memory was reserved",
+            )?,
             prefill: histogram("crosslane_prefill_seconds", "Time of a prefill")?,
-            gap: histogram("crosslane_gap_seconds", "Pauses between events")?,
-            version: gauge("crosslane_config_version", "Version of the configuration in force")?,
+            event_gap: histogram("crosslane_gap_seconds", "Pauses between events")?,
+            configuration_version: gauge(
+                "crosslane_config_version",
+                "Version of the configuration in force",
+            )?,
             endpoints: gauge("crosslane_endpoints", "Endpoints known")?,
             peers: gauge("crosslane_peers", "Other nodes heard")?,
             lines_dropped: gauge("crosslane_log_lines_dropped", "Log lines dropped")?,
@@ -139,32 +145,32 @@
     }
 
     /// Counts a request by its ending.
-    pub fn ending(&self, ending: &str) {
+    pub fn count_ending(&self, ending: &str) {
         self.requests.with_label_values(&[ending]).inc();
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: Reason) {
+    pub fn count_refusal(&self, reason: Reason) {
         self.refusals.with_label_values(&[REASONS[reason as usize].1]).inc();
     }
 
     /// Counts a retry or a denied retry.
-    pub fn retried(&self, retry: Retry) {
+    pub fn count_retry(&self, retry: Retry) {
         self.retries.with_label_values(&[RETRIES[retry as usize].1]).inc();
     }
 
     /// Counts a failed call to the store.
-    pub fn store_failed(&self, topic: &str) {
+    pub fn count_store_error(&self, topic: &str) {
         self.store_errors.with_label_values(&[topic]).inc();
     }
 
     /// Adds a duration to a histogram.
-    pub fn time(histogram: &Histogram, time: Duration) {
+    pub fn observe(histogram: &Histogram, time: Duration) {
         histogram.observe(time.as_secs_f64());
     }
 
     /// Encodes all metrics as text.
-    pub fn text(&self) -> Result<Vec<u8>> {
+    pub fn encode(&self) -> Result<Vec<u8>> {
         let dropped = LINES_DROPPED.load(Ordering::Relaxed);
         self.lines_dropped.set(dropped.cast_signed());
         let mut text = Vec::new();
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -357,7 +357,7 @@
             self.changed.notify_one();
         }
         self.store_lost.store(true, Ordering::Relaxed);
-        self.meter.store_failed(topic.name());
+        self.meter.count_store_error(topic.name());
     }
 
     /// Time since the store returned, in milliseconds, while records that lapsed may still come back.
@@ -392,7 +392,7 @@
     /// Counts bytes handed to another node.
     pub fn count_told(&self, bytes: usize) {
         lock(&self.pace).spend(bytes);
-        self.meter.told_bytes.inc_by(bytes as u64);
+        self.meter.sent_bytes.inc_by(bytes as u64);
     }
 
     /// Puts in force what changed in the mirror.
@@ -424,7 +424,7 @@
             return;
         }
         info!(version = table.version, before, source; "{}", event::CONFIGURATION);
-        self.meter.version.set(table.version.cast_signed());
+        self.meter.configuration_version.set(table.version.cast_signed());
         *held = Some(Arc::new(table));
         drop(held);
         self.in_force.notify_waiters();
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -418,17 +418,17 @@
                 send_limits(&node, &socket, words, &[from.ip()]).await;
             }
             Ok(Message::Ask { number, subject, cost, word }) => {
-                limit::hear_asker(&node, subject, word, from.ip());
+                limit::sync_with_querier(&node, subject, word, from.ip());
                 let answer = quota::answer(&node, number, subject, cost);
                 post(&node, &answer, from.ip());
             }
             Ok(Message::Ruled { number, subject, verdict }) => {
-                if let Some((subject, cost)) = node.desk(subject).hear(number, verdict) {
+                if let Some((subject, cost)) = node.desk(subject).resolve(number, verdict) {
                     post(&node, &Message::GivenBack { subject, cost }, from.ip());
                 }
             }
             Ok(Message::GivenBack { subject, cost }) => {
-                node.desk(subject).hear_back(subject, cost);
+                node.desk(subject).refund(subject, cost);
             }
             Ok(Message::RulingsWanted) => {
                 send_rulings(&node, &socket, from.ip()).await;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -60,24 +60,24 @@
             Ok(Attempt::Error(response)) => {
                 attempts.sent += 1;
                 error_response = Some(response);
-                node.meter.retried(Retry::Error);
+                node.meter.count_retry(Retry::Error);
             }
             Err(failure) => {
                 may_have_run |= failure.may_have_run();
                 if failure.may_have_run() || !may_have_run {
                     reason = failure.into();
                 }
-                attempts.sent += u32::from(failure.sent());
+                attempts.sent += u32::from(failure.was_sent());
                 if failure.may_have_run() && !route.kind.idempotent() {
                     return Err(reason.into());
                 }
-                node.meter.retried(failure.into());
-                if failure.barred() {
+                node.meter.count_retry(failure.into());
+                if failure.quarantined() {
                     break;
                 }
             }
         }
-        if attempts.sent >= route.attempts || call.left().is_zero() {
+        if attempts.sent >= route.attempts || call.remaining().is_zero() {
             break;
         }
     }
@@ -124,7 +124,7 @@
         let query = Query { service, stage, capacity: 0, connections, room: None, except };
         let place = self.node.pool().choose(query, self.node.now())?;
         if retries && !self.node.take_repeat(service) {
-            self.node.meter.retried(Retry::DeniedBudget);
+            self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
         Some(place)
@@ -159,8 +159,8 @@
         let stall_ms = self.route.target as f64 * STALL_SHARE;
         let interval = Duration::from_millis((stall_ms / f64::from(STALL_INTERVALS)) as u64);
         let watch =
-            Watch { node: self.node, call: self.call, at, pauses: (STALL_INTERVALS, interval) };
-        watch::unless_silent(watch, attempt, || ready(self.choose(true))).await
+            Watch { node: self.node, call: self.call, at, intervals: (STALL_INTERVALS, interval) };
+        watch::unless_stalled(watch, attempt, || ready(self.choose(true))).await
     }
 }
 
@@ -172,17 +172,17 @@
     place: (Key, f64),
     last: bool,
 ) -> Result<Attempt, Failure> {
-    let slot = Seat::take(node, place, 0);
+    let slot = Seat::acquire(node, place, 0);
     let until = call.deadline.instant();
     let answer = exchange::send(call, slot, &Purpose::Run, until).await?;
-    Meter::time(&node.meter.first, call.arrived.elapsed());
+    Meter::observe(&node.meter.first_byte, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
-    answer.note(if error { Outcome::Error } else { Outcome::Good });
+    answer.record_outcome(if error { Outcome::Error } else { Outcome::Good });
     let short = answer.head.length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
     if route.kind != Kind::Safe || !short {
         return Ok(Attempt::Final(relay(node, answer, call)));
     }
-    let (parts, body) = answer.read(call, MAX_BUFFERED_BYTES as usize, until).await?;
+    let (parts, body) = answer.read_body(call, MAX_BUFFERED_BYTES as usize, until).await?;
     let response = buffered(parts, body);
     Ok(if error && !last { Attempt::Error(response) } else { Attempt::Final(response) })
 }
@@ -204,24 +204,24 @@
         let error: http::BodyError =
             match timeout_at(call.deadline.instant(), answer.body.frame()).await {
                 Ok(None) => {
-                    answer.ended_well();
+                    answer.complete();
                     return None;
                 }
                 Ok(Some(Ok(frame))) => {
                     // hyper stops polling once a known length is reached.
                     if answer.body.is_end_stream() {
-                        answer.ended_well();
+                        answer.complete();
                     }
                     return Some((Ok(frame), Some((node, answer, call))));
                 }
                 Ok(Some(Err(error))) => error.into(),
                 Err(elapsed) => elapsed.into(),
             };
-        answer.note(Outcome::Failed);
-        let (request, to) = (call.ask.id.as_str(), answer.endpoint.id.as_str());
+        answer.record_outcome(Outcome::Failed);
+        let (request, to) = (call.metadata.id.as_str(), answer.endpoint.id.as_str());
         info!(request, to, why:% = error, outcome = "cut"; "{}", event::ATTEMPT);
-        let Answer { endpoint, began, .. } = answer;
-        quarantine::judge(&node, &call, &endpoint, began).await;
+        let Answer { endpoint, started_at: began, .. } = answer;
+        quarantine::check_for_crash(&node, &call, &endpoint, began).await;
         Some((Err::<Frame<Bytes>, _>(error), None))
     });
     let mut response = Response::new(BoxBody::new(StreamBody::new(frames)));
@@ -234,8 +234,8 @@
 fn refusal(node: &Node, service: &str, reason: Reason) -> Refusal {
     match reason {
         Reason::Broken | Reason::Timeout => reason.into(),
-        Reason::NoEndpoint | Reason::Limited => limit::refusal(node, service, Stage::Plain)
-            .unwrap_or(Refusal::later(reason, RETRY_AFTER)),
-        _ => Refusal::later(reason, RETRY_AFTER),
+        Reason::NoEndpoint | Reason::RateLimited => limit::refusal(node, service, Stage::Plain)
+            .unwrap_or(Refusal::retry_after(reason, RETRY_AFTER)),
+        _ => Refusal::retry_after(reason, RETRY_AFTER),
     }
 }
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -102,7 +102,7 @@
     /// gives how often in a row others were busy.
     async fn ended(self, result: io::Result<Outcome>, turned_away: u32) -> u32 {
         let took_ms = self.node.now().since(self.began);
-        Meter::time(&self.node.meter.pull, Duration::from_millis(took_ms));
+        Meter::observe(&self.node.meter.pull, Duration::from_millis(took_ms));
         let now = self.now();
         let Self { node, topic, from, known, told, pieces, bytes, .. } = self;
         let topic = topic.name();
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -69,15 +69,15 @@
 
 /// Whether the process at an address has ended or is just ending.
 async fn has_ended(address: SocketAddr) -> bool {
-    if refuses(address).await {
+    if refuses_connections(address).await {
         return true;
     }
     sleep(RECHECK_DELAY).await;
-    refuses(address).await
+    refuses_connections(address).await
 }
 
 /// Whether an address refuses connections, so no process listens there. A timeout or another error does not count.
-pub async fn refuses(address: SocketAddr) -> bool {
+pub async fn refuses_connections(address: SocketAddr) -> bool {
     let connected = timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
@@ -88,15 +88,15 @@
     node: Arc<Node>,
     request: Fingerprint,
     /// When the run started, if it has: a request may queue at its engine for seconds.
-    pub began: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Whether the response was completed.
-    pub well: bool,
+    pub completed: bool,
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        let ran = self.began.map_or(0, |started_at| self.node.now().since(started_at));
-        let innocent = self.well || ran >= INNOCENT;
+        let ran = self.started_at.map_or(0, |started_at| self.node.now().since(started_at));
+        let innocent = self.completed || ran >= INNOCENT;
         let mut quarantine = self.node.quarantine();
         let cleared = innocent && quarantine.clear(self.request);
         if !innocent {
@@ -104,7 +104,7 @@
         }
         drop(quarantine);
         if cleared {
-            let why = if self.well { "it ran well" } else { "its run went on" };
+            let why = if self.completed { "it ran well" } else { "its run went on" };
             info!(fingerprint:% = self.request, ran_ms = ran, why; "{}", event::FORGOTTEN);
         }
         self.node.suspected.notify_one();
@@ -115,8 +115,8 @@
 pub fn check(node: &Node, call: &Call) -> Result<(), Failure> {
     match standing(node, call) {
         Standing::Free | Standing::Suspect => Ok(()),
-        Standing::OnTrial => Err(Failure::OnTrial),
-        Standing::Shut(_) => Err(Failure::ShutOut),
+        Standing::OnTrial => Err(Failure::ProbeRunning),
+        Standing::Shut(_) => Err(Failure::Blocked),
     }
 }
 
@@ -137,8 +137,8 @@
 ) -> Result<Option<Trial>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match standing(node, call) {
-        Standing::Shut(_) => Err(log_rejection(call, Failure::ShutOut)),
-        Standing::OnTrial if runs => Err(log_rejection(call, Failure::OnTrial)),
+        Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
+        Standing::OnTrial if runs => Err(log_rejection(call, Failure::ProbeRunning)),
         Standing::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
         Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(None),
     }
@@ -156,13 +156,13 @@
         quarantine.begin(request, tag, node.now());
     }
     node.suspected.notify_one();
-    let probe = Trial { node: node.clone(), request, began: None, well: false };
+    let probe = Trial { node: node.clone(), request, started_at: None, completed: false };
     sleep(Duration::from_millis(ANNOUNCED)).await;
     if node.quarantine().gives_way(request, tag, node.now()) {
         return Err(beside_another(call));
     }
     match standing(node, call) {
-        Standing::Shut(_) => Err(log_rejection(call, Failure::ShutOut)),
+        Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
         Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(probe),
     }
 }
@@ -173,7 +173,7 @@
 }
 
 /// Engines at which other suspects run; a suspect is not placed there.
-pub fn others_on_trial(node: &Node, call: &Call) -> Vec<Key> {
+pub fn engines_with_probes(node: &Node, call: &Call) -> Vec<Key> {
     if standing(node, call) != Standing::Suspect {
         return Vec::new();
     }
@@ -186,8 +186,10 @@
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
     log_rejection(call, failure);
     match standing(node, call) {
-        Standing::Shut(left) => Refusal::later(Reason::ShutOut, Duration::from_millis(left)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => stream::come_back(failure.into()),
+        Standing::Shut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
+        Standing::Free | Standing::Suspect | Standing::OnTrial => {
+            stream::retry_later(failure.into())
+        }
     }
 }
 
@@ -197,14 +199,14 @@
 }
 
 fn log_barred(call: &Call, why: impl Display) {
-    let (request, fingerprint) = (call.ask.id.as_str(), call.fingerprint());
+    let (request, fingerprint) = (call.metadata.id.as_str(), call.fingerprint());
     info!(request, fingerprint:%, why:%; "{}", event::BARRED);
 }
 
 /// Checks whether an endpoint that broke off a response has crashed, and if so counts a strike against the request if its run
 /// had started only a moment before. An error, a network partition or an unresponsive endpoint is no crash.
-pub async fn judge(node: &Arc<Node>, call: &Call, endpoint: &Endpoint, began: Millis) {
-    let (request, to) = (call.ask.id.as_str(), endpoint.id.as_str());
+pub async fn check_for_crash(node: &Arc<Node>, call: &Call, endpoint: &Endpoint, began: Millis) {
+    let (request, to) = (call.metadata.id.as_str(), endpoint.id.as_str());
     let ran_ms = node.now().since(began);
     let fingerprint = call.fingerprint();
     info!(request, to, ran_ms, fingerprint:%; "{}", event::BROKE);
@@ -287,7 +289,7 @@
 }
 
 /// Decides on requests that no other node has decided on, and removes expired state.
-pub fn tidy(node: &Node) {
+pub fn remove_expired(node: &Node) {
     if node.quarantine().is_empty() {
         return;
     }
@@ -296,5 +298,5 @@
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
     }
-    node.meter.shut_out.set(quarantine.shut_count() as i64);
+    node.meter.blocked_requests.set(quarantine.shut_count() as i64);
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -40,7 +40,7 @@
     Owner(IpAddr),
     /// This node, from its even share, since no owner replied.
     #[display("alone")]
-    Alone,
+    EvenShare,
 }
 
 /// A query to an owner that has no reply yet.
@@ -79,7 +79,7 @@
     }
 
     /// Registers a query to an owner; returns its number and the receiver of the reply.
-    pub fn ask(
+    pub fn register(
         &self,
         subject: Subject,
         cost: u32,
@@ -92,19 +92,19 @@
     }
 
     /// Delivers an owner's reply. Returns the subject and cost to refund if it grants a request that no longer waits.
-    pub fn hear(&self, number: u32, verdict: Verdict) -> Option<(Subject, u32)> {
+    pub fn resolve(&self, number: u32, verdict: Verdict) -> Option<(Subject, u32)> {
         let Query { reply, subject, cost, .. } = lock(&self.pending).remove(&number)?;
         let abandoned = reply.send(verdict).is_err();
         (abandoned && verdict == Verdict::Granted).then_some((subject, cost))
     }
 
     /// Refunds a grant that another node did not use.
-    pub fn hear_back(&self, subject: Subject, cost: u32) {
+    pub fn refund(&self, subject: Subject, cost: u32) {
         lock(&self.owned).give_back(subject.tag(), cost);
     }
 
     /// Removes expired state.
-    pub fn tidy(&self, now: Millis) {
+    pub fn remove_expired(&self, now: Millis) {
         lock(&self.owned).expire(now);
         lock(&self.shares).expire(now);
         lock(&self.unresponsive).retain(|_, misses| !misses.forgotten(now));
@@ -144,7 +144,7 @@
     }
 
     /// Marks the request as not sent, so that its cost is refunded.
-    pub fn unsent(&self) {
+    pub fn mark_unsent(&self) {
         self.sent.store(false, Ordering::Relaxed);
     }
 }
@@ -157,8 +157,8 @@
         };
         let limiter = self.node.desk(subject);
         match source {
-            Source::Alone => lock(&limiter.shares).give_back(subject.tag(), cost),
-            Source::Owner(ip) if ip == self.node.settings.ip => limiter.hear_back(subject, cost),
+            Source::EvenShare => lock(&limiter.shares).give_back(subject.tag(), cost),
+            Source::Owner(ip) if ip == self.node.settings.ip => limiter.refund(subject, cost),
             Source::Owner(ip) => {
                 peers::post(&self.node, &Message::GivenBack { subject, cost }, ip);
             }
@@ -184,7 +184,7 @@
         Err(Over { wait_ms, source }) => {
             let organisation = organisation.name.as_str();
             info!(request, organisation, cost, source:%, wait_ms; "{}", event::OVER_QUOTA);
-            Err(Refusal::later(Reason::OverQuota, Duration::from_millis(wait_ms)))
+            Err(Refusal::retry_after(Reason::OverQuota, Duration::from_millis(wait_ms)))
         }
     }
 }
@@ -239,11 +239,11 @@
     let (_, known) = lock(&node.members).seen(node.now());
     let share = 1.0 / known as f64;
     let ask = as_deputy(subject, ask);
-    (lock(&limiter.shares).rule_alone(ask, share, node.now()), Source::Alone)
+    (lock(&limiter.shares).rule_alone(ask, share, node.now()), Source::EvenShare)
 }
 
 /// Starts the bucket of a limit, if this node owns it.
-pub fn begin(node: &Node, subject: Subject) {
+pub fn start_bucket(node: &Node, subject: Subject) {
     if owns(node, subject) {
         lock(&node.desk(subject).owned).begin(subject.tag(), node.now());
     }
@@ -298,7 +298,7 @@
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().word(endpoint),
     };
-    let (number, receiver) = node.desk(subject).ask(subject, cost, node.now());
+    let (number, receiver) = node.desk(subject).register(subject, cost, node.now());
     peers::post(node, &Message::Ask { number, subject, cost, word: known }, owner);
     timeout(QUERY_TIMEOUT, receiver).await.ok()?.ok()
 }
@@ -308,7 +308,7 @@
     let (limit, default) = match subject {
         Subject::Organisation(organisation) => (configured(node, organisation), Verdict::Unsure),
         // The endpoint no longer names a limit; the querying node gets that update separately.
-        Subject::Endpoint(endpoint) => (limit::of(node, endpoint), Verdict::Granted),
+        Subject::Endpoint(endpoint) => (limit::endpoint_limit(node, endpoint), Verdict::Granted),
     };
     let verdict = limit.map_or(default, |limit| {
         let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Retry-After of a caller that this node can't serve for now: about as long as a restart takes.
-pub const COME_BACK: Duration = Duration::from_millis(300);
+pub const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Why a request got no response from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,9 +18,9 @@
     /// No route matches the host and path.
     NoRoute,
     /// The body exceeds the size limit.
-    TooLong,
+    BodyTooLong,
     /// The body did not arrive before the deadline.
-    Incomplete,
+    BodyIncomplete,
     /// This node has no configuration yet.
     NotReady,
     /// This node is stopping.
@@ -36,9 +36,9 @@
     /// The request was sent, and the deadline passed.
     Timeout,
     /// Endpoints crashed while running the request, and another copy is being probed.
-    OnTrial,
+    ProbeRunning,
     /// The request is blocked, since too many endpoints crashed while running it.
-    ShutOut,
+    Blocked,
     /// The caller sent no API key.
     NoKey,
     /// The API key belongs to no organisation.
@@ -46,7 +46,7 @@
     /// The caller's organisation is over its rate limit.
     OverQuota,
     /// All endpoints that could serve the request are at their rate limits.
-    Limited,
+    RateLimited,
 }
 
 /// Every reason with its name and HTTP status, in the order of `Reason`. With status 408, 429 or 503 the request
@@ -54,8 +54,8 @@
 pub const REASONS: [(Reason, &str, StatusCode); 17] = [
     (Reason::NoId, "no_id", StatusCode::BAD_REQUEST),
     (Reason::NoRoute, "no_route", StatusCode::NOT_FOUND),
-    (Reason::TooLong, "too_long", StatusCode::PAYLOAD_TOO_LARGE),
-    (Reason::Incomplete, "incomplete", StatusCode::REQUEST_TIMEOUT),
+    (Reason::BodyTooLong, "too_long", StatusCode::PAYLOAD_TOO_LARGE),
+    (Reason::BodyIncomplete, "incomplete", StatusCode::REQUEST_TIMEOUT),
     (Reason::NotReady, "not_ready", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::Stopping, "stopping", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::NoEndpoint, "no_endpoint", StatusCode::SERVICE_UNAVAILABLE),
@@ -63,12 +63,12 @@
     (Reason::Refused, "refused", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::Broken, "broken", StatusCode::BAD_GATEWAY),
     (Reason::Timeout, "timeout", StatusCode::GATEWAY_TIMEOUT),
-    (Reason::OnTrial, "on_trial", StatusCode::SERVICE_UNAVAILABLE),
-    (Reason::ShutOut, "shut_out", StatusCode::SERVICE_UNAVAILABLE),
+    (Reason::ProbeRunning, "on_trial", StatusCode::SERVICE_UNAVAILABLE),
+    (Reason::Blocked, "shut_out", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::NoKey, "no_key", StatusCode::UNAUTHORIZED),
     (Reason::UnknownKey, "unknown_key", StatusCode::UNAUTHORIZED),
     (Reason::OverQuota, "over_quota", StatusCode::TOO_MANY_REQUESTS),
-    (Reason::Limited, "limited", StatusCode::SERVICE_UNAVAILABLE),
+    (Reason::RateLimited, "limited", StatusCode::SERVICE_UNAVAILABLE),
 ];
 
 impl Reason {
@@ -109,12 +109,12 @@
 
 impl Refusal {
     /// A refusal of a request that has not run, with a Retry-After.
-    pub fn later(reason: Reason, wait: Duration) -> Self {
+    pub fn retry_after(reason: Reason, wait: Duration) -> Self {
         Self { reason, retry_after: Some(wait) }
     }
 
     /// Response to the caller.
-    pub fn answer(self, id: Option<&str>) -> Response<Reply> {
+    pub fn into_response(self, id: Option<&str>) -> Response<Reply> {
         let mut response = Response::new(http::full(self.reason.name()));
         *response.status_mut() = self.reason.status();
         *response.headers_mut() = answer::own_headers(id, self.retry_after);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -102,11 +102,11 @@
                 }
                 Chunk::End => {
                     self.record_outcome(Outcome::Good);
-                    self.answer.iter_mut().for_each(Answer::ended_well);
+                    self.answer.iter_mut().for_each(Answer::complete);
                     return None;
                 }
                 Chunk::Stalled(spare) => {
-                    self.generation.keep_spare(*spare);
+                    self.generation.set_failover(*spare);
                     self.fail_over("engine silent").await;
                 }
                 Chunk::Broken(why) => {
@@ -127,15 +127,15 @@
 
     fn record_outcome(&self, outcome: Outcome) {
         if let Some(answer) = &self.answer {
-            answer.note(outcome);
+            answer.record_outcome(outcome);
         }
     }
 
     /// Drops a response that broke off, and checks whether its engine crashed while running the request.
     async fn drop_broken(&mut self) {
-        if let Some(Answer { endpoint, began, .. }) = self.answer.take() {
+        if let Some(Answer { endpoint, started_at: began, .. }) = self.answer.take() {
             let Run { node, call, .. } = &self.generation;
-            quarantine::judge(node, call, &endpoint, began).await;
+            quarantine::check_for_crash(node, call, &endpoint, began).await;
         }
     }
 
@@ -146,8 +146,8 @@
         let (at, sent, started_at) = (answer.key(), self.generation.sent, Instant::now());
         let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
-        let frame = self.generation.unless_silent(at, sent, frame).await;
-        Meter::time(&self.generation.node.meter.gap, started_at.elapsed());
+        let frame = self.generation.unless_stalled(at, sent, frame).await;
+        Meter::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
         match frame {
             Err(spare) => Chunk::Stalled(Box::new(spare)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
@@ -176,15 +176,16 @@
         self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
         let (source, key) =
             self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
-        let place = self.generation.decoder(FULL, &[key])?;
+        let place = self.generation.choose_decode(FULL, &[key])?;
         let target = self.generation.node.pool().get(place.0).cloned()?;
-        let mut slot = Seat::take(&self.generation.node, place, self.generation.tokens());
+        let mut slot =
+            Seat::acquire(&self.generation.node, place, self.generation.expected_tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
-        slot.admit(&self.generation.call.ask.id).await.ok()?;
+        slot.acquire_permit(&self.generation.call.metadata.id).await.ok()?;
         if !self.generation.node.take_repeat(&self.generation.service) {
             return None;
         }
-        let request = engine::move_run(&source, &self.generation.call.ask.id, target.address);
+        let request = engine::move_run(&source, &self.generation.call.metadata.id, target.address);
         let control = self.generation.node.control.clone();
         let answer = control.call(source.address, request, MOVE_TIMEOUT).await;
         let outcome = match &answer {
@@ -193,8 +194,9 @@
         };
         self.log_move(&source, &target, &outcome);
         // The source keeps the KV cache of the stopped run until it continues, so a run that the target refuses is not lost.
-        let mut stopped = Seat::take(&self.generation.node, (key, 0.0), self.generation.tokens());
-        stopped.excuse();
+        let mut stopped =
+            Seat::acquire(&self.generation.node, (key, 0.0), self.generation.expected_tokens());
+        stopped.skip_rate_limit();
         let (handle, slots) = match outcome {
             Move::Copied { handle } => (handle, vec![slot, stopped]),
             Move::Stopped { handle } => (handle, vec![stopped]),
@@ -208,7 +210,7 @@
 
     fn log_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
         let (request, from, to) =
-            (self.generation.call.ask.id.as_str(), from.id.as_str(), to.id.as_str());
+            (self.generation.call.metadata.id.as_str(), from.id.as_str(), to.id.as_str());
         info!(request, from, to, outcome:? = outcome; "{}", event::MOVE);
     }
 
@@ -248,7 +250,7 @@
 
     /// Id of the last event that the caller has, relayed here or in the response that it resumes.
     fn last_event(&self) -> Option<u64> {
-        self.events.last_id().or(self.generation.call.ask.last_event)
+        self.events.last_id().or(self.generation.call.metadata.last_event)
     }
 
     /// Resumes the stream at other engines while attempts are left. Returns false if that is not allowed or failed.
@@ -259,16 +261,16 @@
             if let Some(denied) = self.resume_denied() {
                 break denied;
             }
-            let resumed = self.generation.elsewhere(last).await;
-            self.generation.node.meter.retried(Retry::Resumed);
+            let resumed = self.generation.retry_elsewhere(last).await;
+            self.generation.node.meter.count_retry(Retry::Resumed);
             let (outcome, retry) = match &resumed {
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
-                    answer.note(Outcome::Error);
+                    answer.record_outcome(Outcome::Error);
                     // The response, and its probe run with it, is dropped before the next try.
                     ("not resumed", true)
                 }
-                Err(failure) => ("not resumed", failure.is_some_and(|known| !known.barred())),
+                Err(failure) => ("not resumed", failure.is_some_and(|known| !known.quarantined())),
             };
             self.log_resume(why, outcome);
             if !retry {
@@ -283,27 +285,27 @@
     /// Why the stream may not be resumed, if so; otherwise takes a retry from the budget.
     fn resume_denied(&self) -> Option<&'static str> {
         let Run { node, call, route, service, sent, .. } = &self.generation;
-        if self.generation.has_spare() {
+        if self.generation.has_failover() {
             return None;
         }
         if route.kind != (Kind::Stream { resumable: true }) {
             return Some("cut: may not be resumed");
         }
-        if call.left().is_zero() {
+        if call.remaining().is_zero() {
             return Some("cut: time ran out");
         }
         if *sent >= route.attempts {
             return Some("cut: no attempt left");
         }
         if !node.take_repeat(service) {
-            node.meter.retried(Retry::DeniedBudget);
+            node.meter.count_retry(Retry::DeniedBudget);
             return Some("cut: retry budget spent");
         }
         None
     }
 
     fn log_resume(&self, why: &str, outcome: &str) {
-        let request = self.generation.call.ask.id.as_str();
+        let request = self.generation.call.metadata.id.as_str();
         let after = self.last_event().unwrap_or_default();
         info!(request, why, outcome, after; "{}", event::ATTEMPT);
     }
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -9,7 +9,7 @@
 use crate::limit;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
-use crate::stream::{Run, come_back};
+use crate::stream::{Run, retry_later};
 use crosslane_coordination::admission::Standing;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::engine;
@@ -38,13 +38,13 @@
 
 impl Run {
     /// KV cache tokens that the request is expected to need.
-    pub fn tokens(&self) -> u32 {
-        self.call.ask.prompt + self.output_tokens()
+    pub fn expected_tokens(&self) -> u32 {
+        self.call.metadata.prompt + self.output_tokens()
     }
 
     /// Output tokens that the request is expected to generate.
     fn output_tokens(&self) -> u32 {
-        let ask = &self.call.ask;
+        let ask = &self.call.metadata;
         let default = (f64::from(ask.most) * DEFAULT_OUTPUT_SHARE) as u32;
         ask.hint.unwrap_or(default).min(ask.most)
     }
@@ -64,7 +64,7 @@
             let pause = Duration::from_millis(rand::rng().random_range(RETRY_PAUSE_MS));
             if Instant::now() + pause >= until {
                 self.log_no_room(bound, rounds);
-                return Err(come_back(Reason::NoRoom));
+                return Err(retry_later(Reason::NoRoom));
             }
             sleep(pause).await;
         }
@@ -79,12 +79,12 @@
     /// Asks the best engines for memory once. The error says what is exhausted: `memory` if no engine seems to have
     /// room, `reservations` if engines refused.
     async fn round(&self, except: Option<Key>) -> Result<Hold, &'static str> {
-        let tokens = self.tokens();
-        let mut tried = quarantine::others_on_trial(&self.node, &self.call);
+        let tokens = self.expected_tokens();
+        let mut tried = quarantine::engines_with_probes(&self.node, &self.call);
         tried.extend(except);
         let excluded = tried.len();
         while tried.len() < excluded + MAX_ENGINES_PER_ROUND {
-            let Some(place) = self.decoder(self.standing.full(), &tried) else {
+            let Some(place) = self.choose_decode(self.timeliness.full(), &tried) else {
                 return Err(if tried.len() == excluded { "memory" } else { "reservations" });
             };
             match self.reserve_on(place, tokens).await {
@@ -96,10 +96,10 @@
     }
 
     fn log_no_room(&self, bound: &'static str, rounds: u32) {
-        let tokens = self.tokens();
+        let tokens = self.expected_tokens();
         let occupancy = self.node.pool().occupancy(&self.service, self.engine.capacity);
-        let request = self.call.ask.id.as_str();
-        let late = self.standing != Standing::OnTime;
+        let request = self.call.metadata.id.as_str();
+        let late = self.timeliness != Standing::OnTime;
         let outcome = "no_room";
         info!(request, late, tokens, rounds, bound, occupancy, outcome; "{}", event::RESERVE);
     }
@@ -108,9 +108,9 @@
     async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Hold> {
         let key = place.0;
         let engine = self.node.pool().get(key).cloned()?;
-        let mut slot = Seat::take(&self.node, place, self.tokens());
+        let mut slot = Seat::acquire(&self.node, place, self.expected_tokens());
         // Before memory is reserved, which would stay unused without a permit.
-        slot.admit(&self.call.ask.id).await.ok()?;
+        slot.acquire_permit(&self.call.metadata.id).await.ok()?;
         let request = engine::take_hold(&engine, tokens, self.engine.hold_limit);
         let answer = self.node.control.call(engine.address, request, RESERVE_TIMEOUT).await;
         let id = match &answer {
@@ -118,12 +118,12 @@
             Ok(answer) => {
                 debug!("reservation at {} refused: {}", engine.id, answer.status);
                 let full = answer.status == StatusCode::SERVICE_UNAVAILABLE;
-                slot.note(if full { Outcome::Refused } else { Outcome::Down });
+                slot.record_outcome(if full { Outcome::Refused } else { Outcome::Down });
                 None
             }
             Err(error) => {
                 debug!("reservation at {} failed: {error}", engine.id);
-                slot.note(exchange::outcome(error));
+                slot.record_outcome(exchange::error_outcome(error));
                 None
             }
         };
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -2,7 +2,7 @@
 
 use crate::mirror::Topic;
 use crate::node::Node;
-use crate::stopping::TAKES_STREAMS;
+use crate::stopping::ACCEPT_TIME;
 use crate::{duty, event, follower, front, limit, pause, peers, quarantine, rulings};
 use crosslane_platform::settings::Settings;
 use derive_more::{Display, Error, From};
@@ -73,8 +73,8 @@
     tokio::spawn(follower::follow(node.clone(), Topic::Operators));
     tokio::spawn(follower::follow(node.clone(), Topic::Endpoints));
     tokio::spawn(front::run(node.clone(), callers, connections.clone()));
-    tokio::spawn(front::status(node.clone(), ready, METRICS_PATH));
-    tokio::spawn(front::status(node.clone(), metrics, METRICS_PATH));
+    tokio::spawn(front::serve_status(node.clone(), ready, METRICS_PATH));
+    tokio::spawn(front::serve_status(node.clone(), metrics, METRICS_PATH));
     tokio::spawn(duty::run(node.clone()));
     tokio::spawn(rulings::follow(node.clone()));
     tokio::spawn(rulings::save(node.clone()));
@@ -92,12 +92,12 @@
 async fn remove_expired(node: Arc<Node>) {
     loop {
         sleep(EXPIRY_INTERVAL).await;
-        node.control.tidy();
-        node.idle.tidy();
+        node.control.remove_expired();
+        node.idle.remove_expired();
         node.pool().expire(node.now());
-        quarantine::tidy(&node);
-        node.quota.tidy(node.now());
-        limit::tidy(&node);
+        quarantine::remove_expired(&node);
+        node.quota.remove_expired(node.now());
+        limit::remove_expired(&node);
     }
 }
 
@@ -115,7 +115,7 @@
     node.stopping.send_replace(Some(node.now()));
     node.changed.notify_one();
     info!(open = connections.len(), phase = "begin"; "{}", event::STOP);
-    sleep(TAKES_STREAMS).await;
+    sleep(ACCEPT_TIME).await;
     connections.close();
     connections.wait().await;
     let took_ms = started_at.elapsed().as_millis() as u64;
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -5,13 +5,13 @@
 //! to end before it is killed. Streams, which last seconds, are accepted only at first, and only if such streams end in time.
 
 use crate::node::Node;
-use crate::refusal::{COME_BACK, Reason, Refusal};
+use crate::refusal::{RETRY_AFTER, Reason, Refusal};
 use crosslane_state::route::{Kind, Route};
 use std::time::Duration;
 
 /// Time after the announcement in which streams and calls are accepted if requests to their service usually end in
 /// time. Later, only calls are accepted, and only if their deadline is before the kill.
-pub const TAKES_STREAMS: Duration = Duration::from_millis(2_800);
+pub const ACCEPT_TIME: Duration = Duration::from_millis(2_800);
 
 /// Time before the kill by which an accepted request must end: covers a busy VM and the transmission of the
 /// response.
@@ -21,24 +21,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Late {
     /// Time since the announcement.
-    pub since: Duration,
+    pub since_announcement: Duration,
     /// Time from the announcement to the kill.
     pub grace: Duration,
     /// Time until the deadline of the request.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Longest recent duration of requests to the same service.
-    pub lasts: Duration,
+    pub longest: Duration,
     /// Whether the response is a stream.
-    pub streams: bool,
+    pub is_stream: bool,
 }
 
 impl Late {
     /// Whether the request is accepted.
-    pub fn taken(self) -> bool {
-        let ends_in_time = |duration: Duration| self.since + duration + KILL_MARGIN <= self.grace;
-        match self.since <= TAKES_STREAMS {
-            true => ends_in_time(self.lasts),
-            false => !self.streams && ends_in_time(self.left),
+    pub fn is_accepted(self) -> bool {
+        let ends_in_time =
+            |duration: Duration| self.since_announcement + duration + KILL_MARGIN <= self.grace;
+        match self.since_announcement <= ACCEPT_TIME {
+            true => ends_in_time(self.longest),
+            false => !self.is_stream && ends_in_time(self.remaining),
         }
     }
 }
@@ -49,11 +50,15 @@
         return Ok(());
     };
     let late = Late {
-        since: Duration::from_millis(node.now().since(announced_at)),
+        since_announcement: Duration::from_millis(node.now().since(announced_at)),
         grace: Duration::from_millis(node.settings.grace),
-        left,
-        lasts: node.longest(service).map_or(left, |longest| longest.min(left)),
-        streams: matches!(route.kind, Kind::Stream { .. }),
+        remaining: left,
+        longest: node.longest(service).map_or(left, |longest| longest.min(left)),
+        is_stream: matches!(route.kind, Kind::Stream { .. }),
     };
-    if late.taken() { Ok(()) } else { Err(Refusal::later(Reason::Stopping, COME_BACK)) }
+    if late.is_accepted() {
+        Ok(())
+    } else {
+        Err(Refusal::retry_after(Reason::Stopping, RETRY_AFTER))
+    }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -66,7 +66,7 @@
     /// What admission control knows of the caller.
     pub caller: Caller,
     /// Whether the response can still be on time.
-    pub standing: Standing,
+    pub timeliness: Standing,
     /// Attempts that reached an endpoint.
     pub sent: u32,
     /// Prefill engine that prefilled the prompt and may still cache it.
@@ -89,8 +89,8 @@
         let caller = Caller {
             target: route.target,
             silence: route.silence(),
-            spent: call.ask.patience.map_or(0, |patience| node.spent(&route.name, patience)),
-            resumes: call.ask.last_event.is_some(),
+            spent: call.metadata.patience.map_or(0, |patience| node.spent(&route.name, patience)),
+            resumes: call.metadata.last_event.is_some(),
         };
         let timeliness = Standing::from(&caller);
         let (attempts, prefilled_at, failover) = (0, None, None);
@@ -101,7 +101,7 @@
             service,
             engine,
             caller,
-            standing: timeliness,
+            timeliness,
             sent: attempts,
             prefilled_at,
             failover,
@@ -110,29 +110,30 @@
 
     /// Runs the request at engines and returns the event stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
-        let max_wait = Duration::from_millis(self.standing.wait(&self.caller));
+        let max_wait = Duration::from_millis(self.timeliness.wait(&self.caller));
         let until = self.call.deadline.instant().min(self.call.arrived + max_wait);
         let hits = self.cache_hits().await;
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
-        stopping::check(&self.node, &self.route, &self.service, self.call.left())?;
-        Meter::time(&self.node.meter.wait, self.call.arrived.elapsed());
+        stopping::check(&self.node, &self.route, &self.service, self.call.remaining())?;
+        Meter::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
-            Reader::Prefilling => self.first_prefill(hits.prefilling).await?,
+            Reader::Prefilling => self.first_prefill(hits.prefill).await?,
         };
         if !self.node.pool().usable(reservation.key) {
             // The engine announced its departure during the prefill.
             let until = self.call.deadline.instant().min(Instant::now() + max_wait);
             reservation = self.reserve(until, None).await?;
         }
-        let answer = self.decode(&mut reservation, handle.as_mut(), self.call.ask.last_event).await;
+        let answer =
+            self.decode(&mut reservation, handle.as_mut(), self.call.metadata.last_event).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => self.retry(failure).await?,
         };
         let stream = self.retry_error(answer).await;
-        Meter::time(&self.node.meter.first, self.call.arrived.elapsed());
+        Meter::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
             Err(error) => plain::relay(&self.node, error, &self.call),
@@ -145,11 +146,11 @@
         if answer.parts.status.is_success() {
             return Ok(answer);
         }
-        answer.note(Outcome::Error);
+        answer.record_outcome(Outcome::Error);
         if !self.route.kind.idempotent() {
             return Err(answer);
         }
-        answer.rest();
+        answer.end_probe();
         match self.retry(Failure::Broken).await {
             Ok(other) if other.parts.status.is_success() => Ok(other),
             Ok(_) | Err(_) => Err(answer),
@@ -160,9 +161,9 @@
     /// without a part of its stream was mostly refused before its prefill, or only looks like one that retries, so
     /// its lookups hit nothing (537 misses a day on eleven nodes, each asking 47 engines).
     async fn cache_hits(&self) -> Keepers {
-        match &self.call.ask.part {
-            Some(part) if self.standing == Standing::Resumed => {
-                cache::find(&self.node, &self.service, &self.call.ask.id, part).await
+        match &self.call.metadata.part {
+            Some(part) if self.timeliness == Standing::Resumed => {
+                cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
             _ => Keepers::default(),
         }
@@ -174,13 +175,13 @@
         hits: &Keepers,
         until: Instant,
     ) -> Result<(Hold, Kept), Refusal> {
-        if let Some(cached_at) = hits.decoding
+        if let Some(cached_at) = hits.decode
             && let Some(reservation) = self.reserve_at(cached_at).await
         {
             return Ok((reservation, Kept::Decoding));
         }
         let reservation = self.reserve(until, None).await?;
-        let kept = hits.prefilling.map_or(Kept::Nowhere, |_| Kept::Prefilling);
+        let kept = hits.prefill.map_or(Kept::Nowhere, |_| Kept::Prefilling);
         Ok((reservation, kept))
     }
 
@@ -201,8 +202,8 @@
 
     /// Best decode engine with room for the request and a load, as a share of its capacity, not above `below`; with
     /// its load.
-    pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
-        let room = Some(Room { tokens: self.tokens(), below });
+    pub fn choose_decode(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
+        let room = Some(Room { tokens: self.expected_tokens(), below });
         let (service, capacity) = (self.service.as_str(), self.engine.capacity);
         let connections = self.node.connections(service);
         let stage = Stage::Decode;
@@ -215,8 +216,8 @@
     async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
         let prefilled = self.prefill(cached_at).await;
         if prefilled.is_none() && !self.node.take_repeat(&self.service) {
-            self.node.meter.retried(Retry::DeniedBudget);
-            return Err(come_back(Reason::Refused));
+            self.node.meter.count_retry(Retry::DeniedBudget);
+            return Err(retry_later(Reason::Refused));
         }
         Ok(prefilled.map(|(at, handle)| {
             self.prefilled_at = Some(at);
@@ -232,7 +233,7 @@
                 None => self.choose_prefill()?,
             };
             match self.prefill_at(place).await {
-                Err(Failure::Limited) => {}
+                Err(Failure::RateLimited) => {}
                 prefilled => return Some((place.0, prefilled.ok()??)),
             }
         }
@@ -241,16 +242,16 @@
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let started_at = Instant::now();
-        let slot = Seat::take(&self.node, place, self.call.ask.prompt);
+        let slot = Seat::acquire(&self.node, place, self.call.metadata.prompt);
         let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
-        answer.note(Outcome::Good);
-        let (_, body) = answer.read(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
+        answer.record_outcome(Outcome::Good);
+        let (_, body) = answer.read_body(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
-        Meter::time(&self.node.meter.prefill, started_at.elapsed());
+        Meter::observe(&self.node.meter.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
@@ -261,21 +262,21 @@
         mut handle: Option<&mut Handle>,
         last_event: Option<u64>,
     ) -> Result<Answer, Failure> {
-        let Some(slot) = reservation.seat.take() else {
+        let Some(slot) = reservation.slot.take() else {
             return Err(Failure::Unsent);
         };
         let source = handle.as_deref().and_then(Handle::source);
         let purpose = Purpose::Decode { hold: reservation.id.as_deref(), source, last_event };
         let (at, until) = (slot.key, self.call.deadline.instant());
         let sending = exchange::send(&self.call, slot, &purpose, until);
-        let answer = match self.unless_silent(at, self.sent + 1, sending).await {
+        let answer = match self.unless_stalled(at, self.sent + 1, sending).await {
             Ok(answer) => answer,
             Err(failover) => {
                 self.failover = Some(failover);
                 Err(Failure::Timeout)
             }
         };
-        self.sent += u32::from(answer.as_ref().map_or_else(|failure| failure.sent(), |_| true));
+        self.sent += u32::from(answer.as_ref().map_or_else(|failure| failure.was_sent(), |_| true));
         if answer.is_ok() {
             reservation.id = None;
             if let Some(handle) = &mut handle {
@@ -287,15 +288,15 @@
 
     /// Waits for an engine. A stalled engine is abandoned only once another one has granted memory and the prompt is
     /// prefilled for it: the stalled run may only be delayed, and until then the stream depends on it.
-    pub async fn unless_silent<T>(
+    pub async fn unless_stalled<T>(
         &self,
         at: Key,
         sent: u32,
         attempt: impl Future<Output = T>,
     ) -> Result<T, Spare> {
         let gap = Duration::from_millis(self.route.gap);
-        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (STALL_GAPS, gap) };
-        watch::unless_silent(watch, attempt, || self.prepare_failover(at, sent)).await
+        let watch = Watch { node: &self.node, call: &self.call, at, intervals: (STALL_GAPS, gap) };
+        watch::unless_stalled(watch, attempt, || self.prepare_failover(at, sent)).await
     }
 
     /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
@@ -310,11 +311,11 @@
         // Without the prompt the failover is not safe: the other engine may be gone before it has prefilled it.
         let handle = self.refetch_prompt().await.ok()?;
         let engine = self.node.pool().get(reservation.key).cloned()?;
-        if quarantine::refuses(engine.address).await {
+        if quarantine::refuses_connections(engine.address).await {
             return None;
         }
         if !self.node.take_repeat(&self.service) {
-            self.node.meter.retried(Retry::DeniedBudget);
+            self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
         Some(Spare { reservation, handle })
@@ -333,17 +334,17 @@
             return Err(final_refusal(failure));
         }
         let mut failure = failure;
-        while !failure.barred() && self.sent < self.route.attempts.max(1) {
+        while !failure.quarantined() && self.sent < self.route.attempts.max(1) {
             let prepaid = self.sent == 0 || self.failover.is_some();
             if !prepaid && !self.node.take_repeat(&self.service) {
-                self.node.meter.retried(Retry::DeniedBudget);
+                self.node.meter.count_retry(Retry::DeniedBudget);
                 break;
             }
-            self.node.meter.retried(failure.into());
-            match self.elsewhere(self.call.ask.last_event).await {
+            self.node.meter.count_retry(failure.into());
+            match self.retry_elsewhere(self.call.metadata.last_event).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
-                Err(Some(next)) if next.barred() && failure.may_have_run() => break,
+                Err(Some(next)) if next.quarantined() && failure.may_have_run() => break,
                 Err(Some(next)) if next.may_have_run() && !kind.idempotent() => {
                     return Err(final_refusal(next));
                 }
@@ -356,7 +357,10 @@
     }
 
     /// Runs the request at another engine, from after the given event.
-    pub async fn elsewhere(&mut self, last_event: Option<u64>) -> Result<Answer, Option<Failure>> {
+    pub async fn retry_elsewhere(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<Answer, Option<Failure>> {
         quarantine::check(&self.node, &self.call).map_err(Some)?;
         let Spare { mut reservation, mut handle } = match self.failover.take() {
             Some(failover) => failover,
@@ -380,12 +384,12 @@
     }
 
     /// Whether a next attempt is prepared.
-    pub fn has_spare(&self) -> bool {
+    pub fn has_failover(&self) -> bool {
         self.failover.is_some()
     }
 
     /// Stores a prepared next attempt.
-    pub fn keep_spare(&mut self, failover: Spare) {
+    pub fn set_failover(&mut self, failover: Spare) {
         self.failover = Some(failover);
     }
 
@@ -400,13 +404,13 @@
 }
 
 /// Refuses a request that has not run, with a randomised Retry-After.
-pub fn come_back(reason: Reason) -> Refusal {
+pub fn retry_later(reason: Reason) -> Refusal {
     let wait = rand::rng().random_range(RETRY_AFTER_MS);
-    Refusal::later(reason, Duration::from_millis(wait))
+    Refusal::retry_after(reason, Duration::from_millis(wait))
 }
 
 /// Refusal after the last attempt; with a Retry-After if the request has not run.
 fn final_refusal(failure: Failure) -> Refusal {
     let reason = Reason::from(failure);
-    if failure.may_have_run() { reason.into() } else { come_back(reason) }
+    if failure.may_have_run() { reason.into() } else { retry_later(reason) }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -21,17 +21,17 @@
     /// Endpoint.
     pub at: Key,
     /// Consecutive intervals without data that count as a stall, and the length of each.
-    pub pauses: (u32, Duration),
+    pub intervals: (u32, Duration),
 }
 
 /// Waits for an attempt. While its endpoint is stalled, `search` looks for a failover concurrently; the attempt is abandoned
 /// only once one is found, which is returned as the error.
-pub async fn unless_silent<T, S, F: Future<Output = Option<S>>>(
+pub async fn unless_stalled<T, S, F: Future<Output = Option<S>>>(
     watch: Watch<'_>,
     attempt: impl Future<Output = T>,
     search: impl Fn() -> F,
 ) -> Result<T, S> {
-    let Watch { node, call, at, pauses: (count, interval) } = watch;
+    let Watch { node, call, at, intervals: (count, interval) } = watch;
     let mut attempt = pin!(attempt);
     let mut silence = Silence::of(count);
     let started_at = Instant::now();
@@ -56,10 +56,10 @@
 fn record_stall(node: &Node, call: &Call, at: Key, since: Instant) {
     let mut pool = node.pool();
     pool.note(at, Outcome::Failed, node.now());
-    node.meter.silences.inc();
+    node.meter.stalls.inc();
     let to = pool.get(at).map(|endpoint| endpoint.id.as_str()).unwrap_or_default();
-    let (request, listed) = (call.ask.id.as_str(), pool.usable(at));
+    let (request, listed) = (call.metadata.id.as_str(), pool.usable(at));
     let silent_ms = since.elapsed().as_millis() as u64;
-    let left_ms = call.left().as_millis() as u64;
+    let left_ms = call.remaining().as_millis() as u64;
     info!(request, to, silent_ms, listed, left_ms; "{}", event::SILENT);
 }
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -23,11 +23,11 @@
 #[case(Reply { name: "refused too late", waiting: false, verdict: Verdict::Over { wait: 1 }, refunded: false })]
 fn grant_that_arrives_too_late_is_refunded(#[case] case: Reply) {
     let desk = Desk::new(Bound::default());
-    let (number, reply) = desk.ask(SUBJECT, 3_000, Millis(0));
+    let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
     let receiver = case.waiting.then_some(reply);
     let expected = case.refunded.then_some((SUBJECT, 3_000));
-    assert_eq!(desk.hear(number, case.verdict), expected, "{}", case.name);
-    assert_eq!(desk.hear(number, case.verdict), None, "{}: second reply", case.name);
+    assert_eq!(desk.resolve(number, case.verdict), expected, "{}", case.name);
+    assert_eq!(desk.resolve(number, case.verdict), None, "{}: second reply", case.name);
     assert_eq!(
         receiver.map(|mut reply| reply.try_recv().ok()),
         case.waiting.then_some(Some(case.verdict))
@@ -37,8 +37,8 @@
 #[rstest]
 fn queries_without_reply_expire() {
     let desk = Desk::new(Bound::default());
-    let (number, reply) = desk.ask(SUBJECT, 3_000, Millis(0));
+    let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
     drop(reply);
-    desk.tidy(Millis(5_000));
-    assert_eq!(desk.hear(number, Verdict::Granted), None);
+    desk.remove_expired(Millis(5_000));
+    assert_eq!(desk.resolve(number, Verdict::Granted), None);
 }
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -26,11 +26,11 @@
 #[case(Case { name: "a call whose service has calls longer than the grace period", since: 2_800, left: 9_000, lasts: 9_000, streams: false, taken: false })]
 fn requests_accepted_while_stopping(#[case] case: Case) {
     let late = Late {
-        since: Duration::from_millis(case.since),
+        since_announcement: Duration::from_millis(case.since),
         grace: Duration::from_secs(8),
-        left: Duration::from_millis(case.left),
-        lasts: Duration::from_millis(case.lasts),
-        streams: case.streams,
+        remaining: Duration::from_millis(case.left),
+        longest: Duration::from_millis(case.lasts),
+        is_stream: case.streams,
     };
-    assert_eq!(late.taken(), case.taken, "{}", case.name);
+    assert_eq!(late.is_accepted(), case.taken, "{}", case.name);
 }
