--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -143,7 +143,7 @@
     /// Acquires a permit from the endpoint's rate limit, if it has one.
     pub async fn acquire_permit(&mut self, request: &str) -> Result<(), Failure> {
         if self.permit.is_none() {
-            self.permit = Some(limit::admit(&self.node, self.key, request).await?);
+            self.permit = Some(limit::acquire(&self.node, self.key, request).await?);
         }
         Ok(())
     }
@@ -260,14 +260,14 @@
     let sent_at = node.now();
     let runs = !matches!(purpose, Purpose::Prefill);
     // Marked before sending: if the attempt is dropped meanwhile, whether the endpoint runs the request is unknown.
-    let sent_before = runs && call.grant.sent();
+    let sent_before = runs && call.grant.mark_sent();
     let mark_unsent = || {
         if runs && !sent_before {
             call.grant.mark_unsent();
         }
     };
     slot.permit.iter().for_each(|permit| {
-        permit.sent();
+        permit.mark_sent();
     });
     let result = connect_and_send(&node, call, &endpoint, purpose, until).await;
     let (connection, parts, body) = match result {
@@ -292,7 +292,7 @@
     }
     // A 421 comes from another incarnation at the same address, which names its own rate limit.
     if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
-        limit::note(&node, &endpoint, &head.limit, sent_at);
+        limit::record(&node, &endpoint, &head.limit, sent_at);
     }
     let rejection = reject(&head, parts.status, purpose);
     if let Some((failure, outcome)) = rejection {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -162,7 +162,7 @@
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
     let method = head.method;
-    let grant = quota::take(node, organisation, ask.tokens(), &ask.id).await?;
+    let grant = quota::acquire_for_organisation(node, organisation, ask.tokens(), &ask.id).await?;
     let (metadata, fingerprint, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
     let call = Call { metadata, method, uri, body, arrived, deadline, fingerprint, grant };
     quarantine::check(node, &call).map_err(|failure| quarantine::refusal(node, &call, failure))?;
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -29,7 +29,7 @@
 
 /// Records the limit named in an endpoint's response; `sent_at` is when its request was sent. An unreadable limit changes
 /// nothing and is logged once.
-pub fn note(
+pub fn record(
     node: &Node,
     endpoint: &Endpoint,
     named: &Result<Option<Rate>, LimitError>,
@@ -53,7 +53,7 @@
 }
 
 /// Merges another node's updates.
-pub fn hear(node: &Node, updates: &[(Tag, Word)], from: IpAddr) {
+pub fn merge(node: &Node, updates: &[(Tag, Word)], from: IpAddr) {
     for (endpoint, update) in updates {
         let change = node.limits().hear(*endpoint, *update, node.now());
         if let Some(change) = change {
@@ -67,7 +67,7 @@
     let (Subject::Endpoint(endpoint), Some(theirs)) = (subject, theirs) else {
         return;
     };
-    hear(node, &[(endpoint, theirs)], from);
+    merge(node, &[(endpoint, theirs)], from);
     let ours = node.limits().word(endpoint);
     if let Some(ours) = ours.filter(|word| *word != theirs) {
         peers::post(node, &Message::Limits { words: vec![(endpoint, ours)] }, from);
@@ -98,12 +98,12 @@
 }
 
 /// Takes a request's cost from the limit of an endpoint, if it names one.
-pub async fn admit(node: &Arc<Node>, key: Key, request: &str) -> Result<Grant, Failure> {
+pub async fn acquire(node: &Arc<Node>, key: Key, request: &str) -> Result<Grant, Failure> {
     let endpoint = node.pool().get(key).map(Endpoint::tag).ok_or(Failure::Unsent)?;
     let Some(limit) = endpoint_limit(node, endpoint) else {
         return Ok(Grant::unlimited(node));
     };
-    match quota::ask(node, Subject::Endpoint(endpoint), limit, COST).await {
+    match quota::acquire(node, Subject::Endpoint(endpoint), limit, COST).await {
         Ok(grant) => Ok(grant),
         Err(Over { wait_ms, source }) => {
             let mut pool = node.pool();
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -406,20 +406,20 @@
                 lock(&node.members).hear_news(from.ip(), ends);
                 node.hear_of(ends);
             }
-            Ok(Message::Words { vm, words }) => quarantine::hear(&node, vm, words),
+            Ok(Message::Words { vm, words }) => quarantine::merge(&node, vm, words),
             Ok(Message::Rulings { digest }) => {
                 if digest != node.quarantine().digest() && due(&mut asked, ASK_PAUSE, node.now()) {
                     send(&node, &socket, &Message::RulingsWanted, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Limits { words }) => limit::hear(&node, &words, from.ip()),
+            Ok(Message::Limits { words }) => limit::merge(&node, &words, from.ip()),
             Ok(Message::LimitsWanted) => {
                 let words = node.limits().words();
                 send_limits(&node, &socket, words, &[from.ip()]).await;
             }
             Ok(Message::Ask { number, subject, cost, word }) => {
                 limit::sync_with_querier(&node, subject, word, from.ip());
-                let answer = quota::answer(&node, number, subject, cost);
+                let answer = quota::reply(&node, number, subject, cost);
                 post(&node, &answer, from.ip());
             }
             Ok(Message::Ruled { number, subject, verdict }) => {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -275,7 +275,7 @@
 }
 
 /// Merges another node's updates.
-pub fn hear(node: &Node, from: Tag, updates: Vec<(Fingerprint, Word)>) {
+pub fn merge(node: &Node, from: Tag, updates: Vec<(Fingerprint, Word)>) {
     let (now, unix) = (node.now(), clock::unix());
     for (fingerprint, update) in updates {
         let verdict = match &update {
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -117,7 +117,7 @@
 pub struct Grant {
     node: Arc<Node>,
     charge: Option<Charge>,
-    sent: AtomicBool,
+    mark_sent: AtomicBool,
 }
 
 /// Cost taken from a limit, and who granted it.
@@ -135,23 +135,23 @@
     }
 
     fn new(node: &Arc<Node>, charge: Option<Charge>) -> Self {
-        Self { node: node.clone(), charge, sent: AtomicBool::new(false) }
+        Self { node: node.clone(), charge, mark_sent: AtomicBool::new(false) }
     }
 
     /// Marks the request as sent; returns whether it was marked before.
-    pub fn sent(&self) -> bool {
-        self.sent.swap(true, Ordering::Relaxed)
+    pub fn mark_sent(&self) -> bool {
+        self.mark_sent.swap(true, Ordering::Relaxed)
     }
 
     /// Marks the request as not sent, so that its cost is refunded.
     pub fn mark_unsent(&self) {
-        self.sent.store(false, Ordering::Relaxed);
+        self.mark_sent.store(false, Ordering::Relaxed);
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let unused = !self.sent.load(Ordering::Relaxed);
+        let unused = !self.mark_sent.load(Ordering::Relaxed);
         let Some(Charge { subject, cost, source }) = self.charge.filter(|_| unused) else {
             return;
         };
@@ -167,7 +167,7 @@
 }
 
 /// Takes a request's cost from its organisation's limit, if it has one.
-pub async fn take(
+pub async fn acquire_for_organisation(
     node: &Arc<Node>,
     organisation: Option<&Organisation>,
     tokens: Option<u32>,
@@ -179,7 +179,7 @@
     };
     let cost = organisation.unit.cost(tokens);
     let subject = Subject::Organisation(organisation.tag());
-    match ask(node, subject, limit, cost).await {
+    match acquire(node, subject, limit, cost).await {
         Ok(grant) => Ok(grant),
         Err(Over { wait_ms, source }) => {
             let organisation = organisation.name.as_str();
@@ -199,7 +199,7 @@
 }
 
 /// Takes a cost from a limit if its owner grants it.
-pub async fn ask(
+pub async fn acquire(
     node: &Arc<Node>,
     subject: Subject,
     limit: Limit,
@@ -304,7 +304,7 @@
 }
 
 /// Replies to another node's query.
-pub fn answer(node: &Node, number: u32, subject: Subject, cost: u32) -> Message {
+pub fn reply(node: &Node, number: u32, subject: Subject, cost: u32) -> Message {
     let (limit, default) = match subject {
         Subject::Organisation(organisation) => (configured(node, organisation), Verdict::Unsure),
         // The endpoint no longer names a limit; the querying node gets that update separately.
