--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -38,11 +38,11 @@
 
 /// Cached prompts by service.
 #[derive(Debug, Default)]
-pub struct Lists(tokio::sync::Mutex<HashMap<String, Listing>>);
+pub struct Listings(tokio::sync::Mutex<HashMap<String, Listing>>);
 
 /// Engines that cache a prompt.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Keepers {
+pub struct Hits {
     /// Decode engine, which can generate from it.
     pub decode: Option<Key>,
     /// Prefill engine, which can transfer it.
@@ -50,7 +50,7 @@
 }
 
 /// Finds the engines of a service that cache the last part of a request's prompt.
-pub async fn lookup(node: &Node, service: &str, request: &str, part: &str) -> Keepers {
+pub async fn lookup(node: &Node, service: &str, request: &str, part: &str) -> Hits {
     let mut listings = node.lists.0.lock().await;
     let fresh = listings
         .get(service)
@@ -65,7 +65,7 @@
             engines.iter().filter(|engine| engine.stage == stage && engine.parts.contains(part));
         hits.next().map(|engine| engine.key)
     };
-    let hits = Keepers { decode: hit(Stage::Decode), prefill: hit(Stage::Prefill) };
+    let hits = Hits { decode: hit(Stage::Decode), prefill: hit(Stage::Prefill) };
     let (asked, decoding, prefilling) =
         (engines.len(), hits.decode.is_some(), hits.prefill.is_some());
     info!(request, prompt = part, asked, decoding, prefilling; "{}", event::CACHED);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
 //! Client for short control calls to engines over pooled connections: reservations, handles and orders.
 
-use crate::kept::Kept;
+use crate::kept::Connections;
 use bytes::Bytes;
 use crosslane_transport::connection::{Connection, Error, Outgoing};
 use http_body_util::{BodyExt, Limited};
@@ -23,7 +23,7 @@
 
 /// A response with its body read.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: StatusCode,
     /// Body.
@@ -33,12 +33,12 @@
 /// Makes control calls to engines.
 #[derive(Clone, Debug)]
 pub struct Control {
-    idle: Kept,
+    idle: Connections,
 }
 
 impl Default for Control {
     fn default() -> Self {
-        Self { idle: Kept::new(MAX_IDLE, MAX_IDLE_PER_ENGINE) }
+        Self { idle: Connections::new(MAX_IDLE, MAX_IDLE_PER_ENGINE) }
     }
 }
 
@@ -49,7 +49,7 @@
         to: SocketAddr,
         request: Outgoing,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let until = Instant::now() + timeout;
         let mut connection = match self.idle.take(to) {
             Some(connection) => connection,
@@ -64,7 +64,7 @@
             Ok(Ok(body)) => body.to_bytes(),
         };
         self.idle.put_back(to, connection);
-        Ok(Answer { status, body })
+        Ok(Response { status, body })
     }
 
     /// Closes connections that were idle for too long.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::limit;
 use crate::meter::Retry;
 use crate::node::Node;
-use crate::quarantine::{self, Trial};
+use crate::quarantine::{self, Probe};
 use crate::quota::Grant;
 use crate::refusal::Reason;
 use bytes::Bytes;
@@ -121,7 +121,7 @@
 
 /// A request in flight at an endpoint; released when dropped.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Slot {
     node: Arc<Node>,
     /// Endpoint.
     pub key: Key,
@@ -132,7 +132,7 @@
     permit: Option<Grant>,
 }
 
-impl Seat {
+impl Slot {
     /// Counts a request, with its KV cache tokens, at the chosen endpoint.
     pub fn acquire(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
         node.pool().enter(key, tokens);
@@ -159,7 +159,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.node.pool().leave(self.key, self.tokens);
         self.node.updated.notify_one();
@@ -179,9 +179,9 @@
     pub endpoint: Endpoint,
     /// When the response head arrived: engines send it with the first token, so the run starts then.
     pub started_at: Millis,
-    slot: Seat,
+    slot: Slot,
     /// Probe run, if the request is suspected of crashing endpoints.
-    probe: Option<Trial>,
+    probe: Option<Probe>,
     /// Connection; closed on drop unless the whole response was read and the connection is reusable.
     connection: Option<Connection>,
     /// Whether the connection may be reused.
@@ -246,7 +246,7 @@
 /// Sends a call to an endpoint and waits for the response head.
 pub async fn send(
     call: &Call,
-    mut slot: Seat,
+    mut slot: Slot,
     purpose: &Purpose<'_>,
     until: Instant,
 ) -> Result<Answer, Failure> {
@@ -324,7 +324,7 @@
 fn log_placement(
     node: &Node,
     call: &Call,
-    slot: &Seat,
+    slot: &Slot,
     endpoint: &Endpoint,
     purpose: &Purpose<'_>,
 ) {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -169,7 +169,8 @@
     let engine = table.services.get(service).and_then(|config| config.engine);
     match (route.kind, engine) {
         (Kind::Stream { .. }, Some(engine)) => {
-            let run = stream::Run::new(node.clone(), route.clone(), service.into(), engine, call);
+            let run =
+                stream::Generation::new(node.clone(), route.clone(), service.into(), engine, call);
             run.start().await
         }
         _ => plain::run(node, route, service, &call).await,
--- a/crates/gateway/src/hold.rs
+++ b/crates/gateway/src/hold.rs
@@ -2,7 +2,7 @@
 //!
 //! Both are released when dropped unused, on every path.
 
-use crate::exchange::Seat;
+use crate::exchange::Slot;
 use crate::node::Node;
 use crosslane_platform::engine;
 use crosslane_state::endpoint::{Endpoint, Key};
@@ -17,7 +17,7 @@
 
 /// Memory reserved at a decode engine; released when dropped unused.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Reservation {
     node: Arc<Node>,
     engine: Endpoint,
     /// Engine's key in the pool.
@@ -25,17 +25,17 @@
     /// Reservation's id at the engine; `None` once used.
     pub id: Option<String>,
     /// The request in flight at the engine; `None` once used.
-    pub slot: Option<Seat>,
+    pub slot: Option<Slot>,
 }
 
-impl Hold {
+impl Reservation {
     /// Wraps a reservation that an engine granted.
-    pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, slot: Seat) -> Self {
+    pub fn new(node: &Arc<Node>, engine: Endpoint, id: String, slot: Slot) -> Self {
         Self { node: node.clone(), engine, key: slot.key, id: Some(id), slot: Some(slot) }
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             release(&self.node, &self.engine, engine::drop_hold(&self.engine, &id));
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -19,7 +19,7 @@
 
 /// Idle connections by endpoint.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct Connections {
     connections: Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>,
     /// Idle time after which a connection is not reused: endpoints close idle ones after seconds.
     max_idle: Duration,
@@ -27,7 +27,7 @@
     max_per_endpoint: usize,
 }
 
-impl Kept {
+impl Connections {
     /// An empty pool.
     pub fn new(max_idle: Duration, max_per_endpoint: usize) -> Self {
         Self { connections: Arc::default(), max_idle, max_per_endpoint }
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -9,7 +9,7 @@
 use crate::members::{Message, Subject};
 use crate::node::{Node, lock};
 use crate::peers;
-use crate::quota::{self, Grant, Over};
+use crate::quota::{self, Exceeded, Grant};
 use crate::refusal::{Reason, Refusal};
 use crosslane_coordination::limits::{self, Change, Word};
 use crosslane_platform::answer::LimitError;
@@ -105,7 +105,7 @@
     };
     match quota::acquire(node, Subject::Endpoint(endpoint), limit, COST).await {
         Ok(grant) => Ok(grant),
-        Err(Over { wait_ms, source }) => {
+        Err(Exceeded { wait_ms, source }) => {
             let mut pool = node.pool();
             pool.hold_back(key, node.now() + wait_ms);
             let to = pool.get(key).map(|listed| listed.id.as_str()).unwrap_or_default();
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -49,7 +49,7 @@
 
 /// All metrics of a node.
 #[derive(Debug)]
-pub struct Meter {
+pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
     refusals: IntCounterVec,
@@ -88,7 +88,7 @@
     lines_dropped: IntGauge,
 }
 
-impl Meter {
+impl Metrics {
     /// Registers all metrics, starting from zero.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,15 +1,15 @@
 //! The parts that a node's tasks share.
 
-use crate::cache::Lists;
+use crate::cache::Listings;
 use crate::control::Control;
 use crate::directory::Directory;
 use crate::event;
-use crate::kept::Kept;
+use crate::kept::Connections;
 use crate::members::{Members, Subject};
-use crate::meter::Meter;
+use crate::meter::Metrics;
 use crate::mirror::{Change, Ends, Mirror, Topic};
 use crate::quarantine::Checks;
-use crate::quota::Desk;
+use crate::quota::Limiter;
 use crosslane_coordination::admission::Patience;
 use crosslane_coordination::allowance::{Allowance, Budget};
 use crosslane_coordination::connections;
@@ -76,15 +76,15 @@
     /// Clock.
     pub clock: Clock,
     /// Metrics.
-    pub meter: Meter,
+    pub meter: Metrics,
     /// Calls to engines besides requests.
     pub control: Control,
     /// Connections to plain endpoints that rest between two requests.
-    pub idle: Kept,
+    pub idle: Connections,
     /// Other nodes.
     pub members: Mutex<Members>,
     /// What engines keep of prompts.
-    pub lists: Lists,
+    pub lists: Listings,
     /// Wakes what tells others of a change.
     pub changed: Notify,
     /// Wakes what tells near nodes of requests at engines.
@@ -104,9 +104,9 @@
     /// Whether the store was asked which requests are shut out, be it in vain.
     pub rulings_read: AtomicBool,
     /// Organisations' limits.
-    pub quota: Desk,
+    pub quota: Limiter,
     /// Limits that endpoints name.
-    pub throttle: Desk,
+    pub throttle: Limiter,
     /// Socket for messages between nodes, once it is bound.
     pub socket: OnceLock<Arc<UdpSocket>>,
     /// Wakes what waits for a newer configuration.
@@ -159,10 +159,10 @@
         };
         Ok(Self {
             clock: Clock::start(),
-            meter: Meter::new()?,
+            meter: Metrics::new()?,
             control: Control::default(),
-            idle: Kept::new(IDLE_REST, IDLE_KEPT),
-            lists: Lists::default(),
+            idle: Connections::new(IDLE_REST, IDLE_KEPT),
+            lists: Listings::default(),
             members: Mutex::new(Members::new(&settings)),
             changed: Notify::new(),
             updated: Notify::new(),
@@ -173,8 +173,8 @@
             ruled: Notify::new(),
             checks: Checks::default(),
             rulings_read: AtomicBool::new(false),
-            quota: Desk::new(settings.quota),
-            throttle: Desk::new(limits::BOUND),
+            quota: Limiter::new(settings.quota),
+            throttle: Limiter::new(limits::BOUND),
             socket: OnceLock::new(),
             in_force: Notify::new(),
             stopping: watch::Sender::new(None),
@@ -257,7 +257,7 @@
     }
 
     /// Where it is decided what may be used of a limit.
-    pub fn desk(&self, subject: Subject) -> &Desk {
+    pub fn desk(&self, subject: Subject) -> &Limiter {
         match subject {
             Subject::Organisation(_) => &self.quota,
             Subject::Endpoint(_) => &self.throttle,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,9 +1,9 @@
 //! Calls to plain services: ordinary requests and responses, without prefill and decode.
 
 use crate::event;
-use crate::exchange::{self, Answer, Call, Failure, Seat};
+use crate::exchange::{self, Answer, Call, Failure, Slot};
 use crate::limit;
-use crate::meter::{Meter, Retry};
+use crate::meter::{Metrics, Retry};
 use crate::node::{Node, Reply};
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
@@ -172,10 +172,10 @@
     place: (Key, f64),
     last: bool,
 ) -> Result<Attempt, Failure> {
-    let slot = Seat::acquire(node, place, 0);
+    let slot = Slot::acquire(node, place, 0);
     let until = call.deadline.instant();
     let answer = exchange::send(call, slot, &Purpose::Run, until).await?;
-    Meter::observe(&node.meter.first_byte, call.arrived.elapsed());
+    Metrics::observe(&node.meter.first_byte, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.record_outcome(if error { Outcome::Error } else { Outcome::Good });
     let short = answer.head.length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -8,7 +8,7 @@
 
 use crate::event;
 use crate::history::Download;
-use crate::meter::Meter;
+use crate::meter::Metrics;
 use crate::mirror::{List, Part, Topic};
 use crate::node::{Node, lock};
 use crate::peers::{PeerClient, Told};
@@ -102,7 +102,7 @@
     /// gives how often in a row others were busy.
     async fn ended(self, result: io::Result<Outcome>, turned_away: u32) -> u32 {
         let took_ms = self.node.now().since(self.began);
-        Meter::observe(&self.node.meter.pull, Duration::from_millis(took_ms));
+        Metrics::observe(&self.node.meter.pull, Duration::from_millis(took_ms));
         let now = self.now();
         let Self { node, topic, from, known, told, pieces, bytes, .. } = self;
         let topic = topic.name();
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -84,7 +84,7 @@
 
 /// Probe run of a suspect request; its result is recorded when it is dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct Probe {
     node: Arc<Node>,
     request: Fingerprint,
     /// When the run started, if it has: a request may queue at its engine for seconds.
@@ -93,7 +93,7 @@
     pub completed: bool,
 }
 
-impl Drop for Trial {
+impl Drop for Probe {
     fn drop(&mut self) {
         let ran = self.started_at.map_or(0, |started_at| self.node.now().since(started_at));
         let innocent = self.completed || ran >= INNOCENT;
@@ -134,7 +134,7 @@
     call: &Call,
     endpoint: &Endpoint,
     purpose: &Purpose<'_>,
-) -> Result<Option<Trial>, Failure> {
+) -> Result<Option<Probe>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match standing(node, call) {
         Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
@@ -146,7 +146,7 @@
 
 /// Announces a probe run of a suspect and admits it if no other suspect runs at the endpoint: if the endpoint crashed, both
 /// would get a strike.
-async fn start_probe(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Trial, Failure> {
+async fn start_probe(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Probe, Failure> {
     let (request, tag) = (call.fingerprint(), endpoint.tag());
     {
         let mut quarantine = node.quarantine();
@@ -156,7 +156,7 @@
         quarantine.begin(request, tag, node.now());
     }
     node.suspected.notify_one();
-    let probe = Trial { node: node.clone(), request, started_at: None, completed: false };
+    let probe = Probe { node: node.clone(), request, started_at: None, completed: false };
     sleep(Duration::from_millis(ANNOUNCED)).await;
     if node.quarantine().gives_way(request, tag, node.now()) {
         return Err(beside_another(call));
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -54,7 +54,7 @@
 
 /// Token buckets of the limits that this node decides on, and its pending queries to other owners.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Limiter {
     /// Limits that this node owns, or decides on in the owner's place.
     owned: Mutex<Quota>,
     /// Even shares, used while no owner replies.
@@ -66,7 +66,7 @@
     next_number: AtomicU32,
 }
 
-impl Desk {
+impl Limiter {
     /// A limiter with nothing used yet.
     pub fn new(bound: Bound) -> Self {
         Self {
@@ -181,7 +181,7 @@
     let subject = Subject::Organisation(organisation.tag());
     match acquire(node, subject, limit, cost).await {
         Ok(grant) => Ok(grant),
-        Err(Over { wait_ms, source }) => {
+        Err(Exceeded { wait_ms, source }) => {
             let organisation = organisation.name.as_str();
             info!(request, organisation, cost, source:%, wait_ms; "{}", event::OVER_QUOTA);
             Err(Refusal::retry_after(Reason::OverQuota, Duration::from_millis(wait_ms)))
@@ -191,7 +191,7 @@
 
 /// The requested cost exceeds a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Over {
+pub struct Exceeded {
     /// Estimated time until there is room.
     pub wait_ms: u64,
     /// Who decided.
@@ -204,11 +204,11 @@
     subject: Subject,
     limit: Limit,
     cost: u32,
-) -> Result<Grant, Over> {
+) -> Result<Grant, Exceeded> {
     let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
     let (verdict, source) = decide(node, subject, ask).await;
     if let Verdict::Over { wait: wait_ms } = verdict {
-        return Err(Over { wait_ms, source });
+        return Err(Exceeded { wait_ms, source });
     }
     Ok(Grant::new(node, Some(Charge { subject, cost, source })))
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -5,11 +5,11 @@
 
 use crate::event;
 use crate::events::Events;
-use crate::exchange::{self, Answer, Seat};
-use crate::meter::{Meter, Retry};
+use crate::exchange::{self, Answer, Slot};
+use crate::meter::{Metrics, Retry};
 use crate::node::Reply;
 use crate::quarantine;
-use crate::stream::{Run, Spare};
+use crate::stream::{Failover, Generation};
 use bytes::{Bytes, BytesMut};
 use crosslane_coordination::admission::FULL;
 use crosslane_coordination::health::Outcome;
@@ -40,7 +40,7 @@
 
 /// Relays the events of one stream.
 pub struct Relay {
-    generation: Run,
+    generation: Generation,
     answer: Option<Answer>,
     events: Events,
     /// When to move the run away from a leaving engine.
@@ -57,14 +57,14 @@
     End,
     Broken(&'static str),
     /// The engine stalled, and the next attempt is prepared.
-    Stalled(Box<Spare>),
+    Stalled(Box<Failover>),
 }
 
 type Item = (Result<Frame<Bytes>, BodyError>, Relay);
 
 impl Relay {
     /// Starts to relay an engine's response.
-    pub fn new(generation: Run, answer: Answer) -> Self {
+    pub fn new(generation: Generation, answer: Answer) -> Self {
         let events = Events::default();
         Self {
             generation,
@@ -134,7 +134,7 @@
     /// Drops a response that broke off, and checks whether its engine crashed while running the request.
     async fn drop_broken(&mut self) {
         if let Some(Answer { endpoint, started_at: began, .. }) = self.answer.take() {
-            let Run { node, call, .. } = &self.generation;
+            let Generation { node, call, .. } = &self.generation;
             quarantine::check_for_crash(node, call, &endpoint, began).await;
         }
     }
@@ -143,11 +143,11 @@
         let Some(answer) = &mut self.answer else {
             return Chunk::Broken("no engine");
         };
-        let (at, sent, started_at) = (answer.key(), self.generation.sent, Instant::now());
+        let (at, sent, started_at) = (answer.key(), self.generation.attempts, Instant::now());
         let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
         let frame = self.generation.unless_stalled(at, sent, frame).await;
-        Meter::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
+        Metrics::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
         match frame {
             Err(spare) => Chunk::Stalled(Box::new(spare)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
@@ -179,7 +179,7 @@
         let place = self.generation.choose_decode(FULL, &[key])?;
         let target = self.generation.node.pool().get(place.0).cloned()?;
         let mut slot =
-            Seat::acquire(&self.generation.node, place, self.generation.expected_tokens());
+            Slot::acquire(&self.generation.node, place, self.generation.expected_tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
         slot.acquire_permit(&self.generation.call.metadata.id).await.ok()?;
         if !self.generation.node.take_repeat(&self.generation.service) {
@@ -195,7 +195,7 @@
         self.log_move(&source, &target, &outcome);
         // The source keeps the KV cache of the stopped run until it continues, so a run that the target refuses is not lost.
         let mut stopped =
-            Seat::acquire(&self.generation.node, (key, 0.0), self.generation.expected_tokens());
+            Slot::acquire(&self.generation.node, (key, 0.0), self.generation.expected_tokens());
         stopped.skip_rate_limit();
         let (handle, slots) = match outcome {
             Move::Copied { handle } => (handle, vec![slot, stopped]),
@@ -228,7 +228,7 @@
     }
 
     /// Continues a stopped run from its KV cache, at the first engine that does not refuse it.
-    async fn continue_run(&mut self, source: &Endpoint, handle: &str, slots: Vec<Seat>) {
+    async fn continue_run(&mut self, source: &Endpoint, handle: &str, slots: Vec<Slot>) {
         let last_event = self.last_event();
         let source = Some((source.address, handle));
         let purpose = Purpose::Decode { hold: None, source, last_event };
@@ -284,7 +284,7 @@
 
     /// Why the stream may not be resumed, if so; otherwise takes a retry from the budget.
     fn resume_denied(&self) -> Option<&'static str> {
-        let Run { node, call, route, service, sent, .. } = &self.generation;
+        let Generation { node, call, route, service, attempts: sent, .. } = &self.generation;
         if self.generation.has_failover() {
             return None;
         }
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -4,12 +4,12 @@
 //! up to which load an engine is asked.
 
 use crate::event;
-use crate::exchange::{self, Seat};
-use crate::hold::Hold;
+use crate::exchange::{self, Slot};
+use crate::hold::Reservation;
 use crate::limit;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
-use crate::stream::{Run, retry_later};
+use crate::stream::{Generation, retry_later};
 use crosslane_coordination::admission::Standing;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::engine;
@@ -36,7 +36,7 @@
 /// Minimum size of a reservation.
 const MIN_RESERVED_TOKENS: u32 = 64;
 
-impl Run {
+impl Generation {
     /// KV cache tokens that the request is expected to need.
     pub fn expected_tokens(&self) -> u32 {
         self.call.metadata.prompt + self.output_tokens()
@@ -50,7 +50,11 @@
     }
 
     /// Reserves memory at a decode engine other than `except`, and waits for it until a time.
-    pub async fn reserve(&self, until: Instant, except: Option<Key>) -> Result<Hold, Refusal> {
+    pub async fn reserve(
+        &self,
+        until: Instant,
+        except: Option<Key>,
+    ) -> Result<Reservation, Refusal> {
         let mut rounds = 0_u32;
         loop {
             let bound = match self.round(except).await {
@@ -72,13 +76,13 @@
 
     /// Reserves memory for the output tokens only, at an engine that caches the prompt. A reservation for the prompt as
     /// well would evict it.
-    pub async fn reserve_at(&self, engine: Key) -> Option<Hold> {
+    pub async fn reserve_at(&self, engine: Key) -> Option<Reservation> {
         self.reserve_on((engine, 0.0), self.output_tokens().max(MIN_RESERVED_TOKENS)).await
     }
 
     /// Asks the best engines for memory once. The error says what is exhausted: `memory` if no engine seems to have
     /// room, `reservations` if engines refused.
-    async fn round(&self, except: Option<Key>) -> Result<Hold, &'static str> {
+    async fn round(&self, except: Option<Key>) -> Result<Reservation, &'static str> {
         let tokens = self.expected_tokens();
         let mut tried = quarantine::engines_with_probes(&self.node, &self.call);
         tried.extend(except);
@@ -105,10 +109,10 @@
     }
 
     /// Reserves memory at one engine.
-    async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Hold> {
+    async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Reservation> {
         let key = place.0;
         let engine = self.node.pool().get(key).cloned()?;
-        let mut slot = Seat::acquire(&self.node, place, self.expected_tokens());
+        let mut slot = Slot::acquire(&self.node, place, self.expected_tokens());
         // Before memory is reserved, which would stay unused without a permit.
         slot.acquire_permit(&self.call.metadata.id).await.ok()?;
         let request = engine::take_hold(&engine, tokens, self.engine.hold_limit);
@@ -128,6 +132,6 @@
             }
         };
         let id = id?;
-        Some(Hold::new(&self.node, engine, id, slot))
+        Some(Reservation::new(&self.node, engine, id, slot))
     }
 }
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -19,7 +19,7 @@
 
 /// A request that arrived after the announcement.
 #[derive(Clone, Copy, Debug)]
-pub struct Late {
+pub struct Arrival {
     /// Time since the announcement.
     pub since_announcement: Duration,
     /// Time from the announcement to the kill.
@@ -32,7 +32,7 @@
     pub is_stream: bool,
 }
 
-impl Late {
+impl Arrival {
     /// Whether the request is accepted.
     pub fn is_accepted(self) -> bool {
         let ends_in_time =
@@ -49,7 +49,7 @@
     let Some(announced_at) = *node.stopping.borrow() else {
         return Ok(());
     };
-    let late = Late {
+    let late = Arrival {
         since_announcement: Duration::from_millis(node.now().since(announced_at)),
         grace: Duration::from_millis(node.settings.grace),
         remaining: left,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -4,10 +4,10 @@
 //! is reserved at a decode engine before the prefill; concurrent nodes are arbitrated by the engine itself.
 //! A stream that breaks off is continued at another engine if its route allows.
 
-use crate::cache::{self, Keepers};
-use crate::exchange::{self, Answer, Call, Failure, Seat};
-use crate::hold::{Handle, Hold};
-use crate::meter::{Meter, Retry};
+use crate::cache::{self, Hits};
+use crate::exchange::{self, Answer, Call, Failure, Slot};
+use crate::hold::{Handle, Reservation};
+use crate::meter::{Metrics, Retry};
 use crate::node::{Node, Reply};
 use crate::plain;
 use crate::quarantine;
@@ -52,7 +52,7 @@
 const RETRY_AFTER_MS: std::ops::Range<u64> = 2_000..4_400;
 
 /// One streaming request, from reservation to relay; it may run at several engines in turn.
-pub struct Run {
+pub struct Generation {
     /// Node.
     pub node: Arc<Node>,
     /// Request.
@@ -68,22 +68,22 @@
     /// Whether the response can still be on time.
     pub timeliness: Standing,
     /// Attempts that reached an endpoint.
-    pub sent: u32,
+    pub attempts: u32,
     /// Prefill engine that prefilled the prompt and may still cache it.
     prefilled_at: Option<Key>,
     /// Prepared next attempt, if the previous engine stalled.
-    failover: Option<Spare>,
+    failover: Option<Failover>,
 }
 
 /// Everything an attempt at another engine needs; its retry has been taken from the budget.
 #[derive(Debug)]
-pub struct Spare {
-    reservation: Hold,
+pub struct Failover {
+    reservation: Reservation,
     /// KV cache of the prompt, if it was prefilled at another engine.
     handle: Option<Handle>,
 }
 
-impl Run {
+impl Generation {
     /// Creates a streaming request for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
@@ -102,7 +102,7 @@
             engine,
             caller,
             timeliness,
-            sent: attempts,
+            attempts,
             prefilled_at,
             failover,
         }
@@ -116,7 +116,7 @@
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
         stopping::check(&self.node, &self.route, &self.service, self.call.remaining())?;
-        Meter::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
             Reader::Prefilling => self.first_prefill(hits.prefill).await?,
@@ -133,7 +133,7 @@
             Err(failure) => self.retry(failure).await?,
         };
         let stream = self.retry_error(answer).await;
-        Meter::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
             Err(error) => plain::relay(&self.node, error, &self.call),
@@ -160,21 +160,21 @@
     /// Engines that still cache the prompt of a caller that resumes a stream. Other callers cause no lookup: one
     /// without a part of its stream was mostly refused before its prefill, or only looks like one that retries, so
     /// its lookups hit nothing (537 misses a day on eleven nodes, each asking 47 engines).
-    async fn cache_hits(&self) -> Keepers {
+    async fn cache_hits(&self) -> Hits {
         match &self.call.metadata.part {
             Some(part) if self.timeliness == Standing::Resumed => {
                 cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
-            _ => Keepers::default(),
+            _ => Hits::default(),
         }
     }
 
     /// Reserves memory at an engine that caches the prompt, or else at any engine.
     async fn reserve_near_cache(
         &self,
-        hits: &Keepers,
+        hits: &Hits,
         until: Instant,
-    ) -> Result<(Hold, Kept), Refusal> {
+    ) -> Result<(Reservation, Kept), Refusal> {
         if let Some(cached_at) = hits.decode
             && let Some(reservation) = self.reserve_at(cached_at).await
         {
@@ -242,7 +242,7 @@
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let started_at = Instant::now();
-        let slot = Seat::acquire(&self.node, place, self.call.metadata.prompt);
+        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt);
         let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
@@ -251,14 +251,14 @@
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
-        Meter::observe(&self.node.meter.prefill, started_at.elapsed());
+        Metrics::observe(&self.node.meter.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
     /// Sends the request to the engine that granted the reservation.
     async fn decode(
         &mut self,
-        reservation: &mut Hold,
+        reservation: &mut Reservation,
         mut handle: Option<&mut Handle>,
         last_event: Option<u64>,
     ) -> Result<Answer, Failure> {
@@ -269,14 +269,15 @@
         let purpose = Purpose::Decode { hold: reservation.id.as_deref(), source, last_event };
         let (at, until) = (slot.key, self.call.deadline.instant());
         let sending = exchange::send(&self.call, slot, &purpose, until);
-        let answer = match self.unless_stalled(at, self.sent + 1, sending).await {
+        let answer = match self.unless_stalled(at, self.attempts + 1, sending).await {
             Ok(answer) => answer,
             Err(failover) => {
                 self.failover = Some(failover);
                 Err(Failure::Timeout)
             }
         };
-        self.sent += u32::from(answer.as_ref().map_or_else(|failure| failure.was_sent(), |_| true));
+        self.attempts +=
+            u32::from(answer.as_ref().map_or_else(|failure| failure.was_sent(), |_| true));
         if answer.is_ok() {
             reservation.id = None;
             if let Some(handle) = &mut handle {
@@ -293,7 +294,7 @@
         at: Key,
         sent: u32,
         attempt: impl Future<Output = T>,
-    ) -> Result<T, Spare> {
+    ) -> Result<T, Failover> {
         let gap = Duration::from_millis(self.route.gap);
         let watch = Watch { node: &self.node, call: &self.call, at, intervals: (STALL_GAPS, gap) };
         watch::unless_stalled(watch, attempt, || self.prepare_failover(at, sent)).await
@@ -301,7 +302,7 @@
 
     /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
     /// budget, if the stream may be resumed.
-    async fn prepare_failover(&self, stalled: Key, sent: u32) -> Option<Spare> {
+    async fn prepare_failover(&self, stalled: Key, sent: u32) -> Option<Failover> {
         let resumable = self.route.kind == Kind::Stream { resumable: true };
         if !resumable || sent >= self.route.attempts {
             return None;
@@ -318,7 +319,7 @@
             self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
-        Some(Spare { reservation, handle })
+        Some(Failover { reservation, handle })
     }
 
     /// Latest time to wait for memory to resume a stream.
@@ -334,8 +335,8 @@
             return Err(final_refusal(failure));
         }
         let mut failure = failure;
-        while !failure.quarantined() && self.sent < self.route.attempts.max(1) {
-            let prepaid = self.sent == 0 || self.failover.is_some();
+        while !failure.quarantined() && self.attempts < self.route.attempts.max(1) {
+            let prepaid = self.attempts == 0 || self.failover.is_some();
             if !prepaid && !self.node.take_repeat(&self.service) {
                 self.node.meter.count_retry(Retry::DeniedBudget);
                 break;
@@ -362,11 +363,11 @@
         last_event: Option<u64>,
     ) -> Result<Answer, Option<Failure>> {
         quarantine::check(&self.node, &self.call).map_err(Some)?;
-        let Spare { mut reservation, mut handle } = match self.failover.take() {
+        let Failover { mut reservation, mut handle } = match self.failover.take() {
             Some(failover) => failover,
             None => {
                 let reservation = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
-                Spare { reservation, handle: self.refetch_prompt().await.unwrap_or_default() }
+                Failover { reservation, handle: self.refetch_prompt().await.unwrap_or_default() }
             }
         };
         self.decode(&mut reservation, handle.as_mut(), last_event).await.map_err(Some)
@@ -389,7 +390,7 @@
     }
 
     /// Stores a prepared next attempt.
-    pub fn set_failover(&mut self, failover: Spare) {
+    pub fn set_failover(&mut self, failover: Failover) {
         self.failover = Some(failover);
     }
 
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -2,7 +2,7 @@
 
 use crosslane_coordination::quota::{Bound, Verdict};
 use crosslane_gateway::members::Subject;
-use crosslane_gateway::quota::Desk;
+use crosslane_gateway::quota::Limiter;
 use crosslane_state::endpoint::Tag;
 use crosslane_state::time::Millis;
 use rstest::rstest;
@@ -22,7 +22,7 @@
 #[case(Reply { name: "too late", waiting: false, verdict: Verdict::Granted, refunded: true })]
 #[case(Reply { name: "refused too late", waiting: false, verdict: Verdict::Over { wait: 1 }, refunded: false })]
 fn grant_that_arrives_too_late_is_refunded(#[case] case: Reply) {
-    let desk = Desk::new(Bound::default());
+    let desk = Limiter::new(Bound::default());
     let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
     let receiver = case.waiting.then_some(reply);
     let expected = case.refunded.then_some((SUBJECT, 3_000));
@@ -36,7 +36,7 @@
 
 #[rstest]
 fn queries_without_reply_expire() {
-    let desk = Desk::new(Bound::default());
+    let desk = Limiter::new(Bound::default());
     let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
     drop(reply);
     desk.remove_expired(Millis(5_000));
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! Which requests a stopping node still accepts.
 
-use crosslane_gateway::stopping::Late;
+use crosslane_gateway::stopping::Arrival;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 #[case(Case { name: "a long call, before the load balancer has noticed", since: 2_800, left: 9_000, lasts: 60, streams: false, taken: true })]
 #[case(Case { name: "a call whose service has calls longer than the grace period", since: 2_800, left: 9_000, lasts: 9_000, streams: false, taken: false })]
 fn requests_accepted_while_stopping(#[case] case: Case) {
-    let late = Late {
+    let late = Arrival {
         since_announcement: Duration::from_millis(case.since),
         grace: Duration::from_secs(8),
         remaining: Duration::from_millis(case.left),
