--- a/crates/crosslane/src/bin/crosslaned.rs
+++ b/crates/crosslane/src/bin/crosslaned.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, Command, value_parser};
 use crosslane::error::{Error, FENCED};
 use crosslane::{config, logs};
-use crosslane_gateway::site::{self, METRICS_PORT};
+use crosslane_gateway::server::{self, METRICS_PORT};
 use crosslane_platform::settings::{self as site_settings, FILE_VARIABLE};
 use crosslane_protocol::settings::Settings;
 use crosslane_transport::node;
@@ -52,7 +52,7 @@
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         let announced = async move { terminate.recv().await.unwrap_or_default() };
-        site::run(settings, &path, metrics_port, announced).await.map_err(Error::from)
+        server::run(settings, &path, metrics_port, announced).await.map_err(Error::from)
     })?;
     logs::flush();
     Ok(ExitCode::SUCCESS)
--- a/crates/crosslane/src/error.rs
+++ b/crates/crosslane/src/error.rs
@@ -37,7 +37,7 @@
     /// The platform's settings are wrong.
     SiteSettings(crosslane_platform::settings::Error),
     /// A node that serves through the platform can't run.
-    Site(crosslane_gateway::site::Error),
+    Site(crosslane_gateway::server::Error),
     /// The platform's store can't be read or written.
     Store(store::Error),
     /// The system refused something.
--- a/crates/crosslane/src/logs.rs
+++ b/crates/crosslane/src/logs.rs
@@ -6,7 +6,7 @@
 
 use crate::error::Error;
 use crosslane_gateway::event;
-use crosslane_gateway::meter::LINES_DROPPED;
+use crosslane_gateway::metrics::LINES_DROPPED;
 use log::kv::{self, Key, Value, VisitSource};
 use log::{LevelFilter, Record};
 use log4rs::append::Append;
--- a/crates/crosslane/tests/pages.rs
+++ b/crates/crosslane/tests/pages.rs
@@ -1,7 +1,7 @@
 //! The pages say what the code does.
 
 use crosslane_gateway::event::EVENTS;
-use crosslane_gateway::meter::RETRIES;
+use crosslane_gateway::metrics::RETRIES;
 use crosslane_gateway::refusal::REASONS;
 use crosslane_protocol::refusal::CODES;
 use crosslane_transport::metrics::COUNTERS;
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
 //! Client for short control calls to engines over pooled connections: reservations, handles and orders.
 
-use crate::kept::Connections;
+use crate::idle::Connections;
 use bytes::Bytes;
 use crosslane_transport::connection::{Connection, Error, Outgoing};
 use http_body_util::{BodyExt, Limited};
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -6,7 +6,7 @@
 use crate::control::CONNECT_TIMEOUT;
 use crate::event;
 use crate::limit;
-use crate::meter::Retry;
+use crate::metrics::Retry;
 use crate::node::Node;
 use crate::quarantine::{self, Probe};
 use crate::quota::Grant;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/frontend.rs
@@ -5,7 +5,7 @@
 use crate::exchange::Call;
 use crate::node::{Node, Open, Reply};
 use crate::refusal::{RETRY_AFTER, Reason, Refusal};
-use crate::{plain, quarantine, quota, stopping, stream};
+use crate::{plain, quarantine, quota, shutdown, stream};
 use bytes::Bytes;
 use crosslane_coordination::identity;
 use crosslane_platform::answer;
@@ -155,7 +155,7 @@
         node.clock.deadline(ask.patience.map_or(timeout, |patience| patience.min(timeout)));
     let body = read_body(body, table.limits, deadline.left()).await?;
     let service = choose_service(route, &ask.id);
-    stopping::check(node, route, service, deadline.left())?;
+    shutdown::check(node, route, service, deadline.left())?;
     node.count_request(service);
     entry.open = Some(node.begin(service));
     let mut parts = hyper::http::uri::Parts::default();
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -3,11 +3,11 @@
 use crate::event;
 use crate::exchange::{self, Answer, Call, Failure, Slot};
 use crate::limit;
-use crate::meter::{Metrics, Retry};
+use crate::metrics::{Metrics, Retry};
 use crate::node::{Node, Reply};
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
-use crate::watch::{self, Watch};
+use crate::stall::{self, Watch};
 use bytes::Bytes;
 use crosslane_coordination::choice::Query;
 use crosslane_coordination::health::Outcome;
@@ -160,7 +160,7 @@
         let interval = Duration::from_millis((stall_ms / f64::from(STALL_INTERVALS)) as u64);
         let watch =
             Watch { node: self.node, call: self.call, at, intervals: (STALL_INTERVALS, interval) };
-        watch::unless_stalled(watch, attempt, || ready(self.choose(true))).await
+        stall::unless_stalled(watch, attempt, || ready(self.choose(true))).await
     }
 }
 
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -8,7 +8,7 @@
 
 use crate::event;
 use crate::history::Download;
-use crate::meter::Metrics;
+use crate::metrics::Metrics;
 use crate::mirror::{List, Part, Topic};
 use crate::node::{Node, lock};
 use crate::peers::{PeerClient, Told};
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,7 +6,7 @@
 use crate::event;
 use crate::events::Events;
 use crate::exchange::{self, Answer, Slot};
-use crate::meter::{Metrics, Retry};
+use crate::metrics::{Metrics, Retry};
 use crate::node::Reply;
 use crate::quarantine;
 use crate::stream::{Failover, Generation};
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -5,10 +5,10 @@
 
 use crate::event;
 use crate::exchange::{self, Slot};
-use crate::hold::Reservation;
 use crate::limit;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
+use crate::reservation::Reservation;
 use crate::stream::{Generation, retry_later};
 use crosslane_coordination::admission::Standing;
 use crosslane_coordination::health::Outcome;
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/server.rs
@@ -2,8 +2,8 @@
 
 use crate::mirror::Topic;
 use crate::node::Node;
-use crate::stopping::ACCEPT_TIME;
-use crate::{duty, event, follower, front, limit, pause, peers, quarantine, rulings};
+use crate::shutdown::ACCEPT_TIME;
+use crate::{duty, event, follower, frontend, limit, pause, peers, quarantine, rulings};
 use crosslane_platform::settings::Settings;
 use derive_more::{Display, Error, From};
 use log::{info, warn};
@@ -72,9 +72,9 @@
     info!(vm = settings.vm, domain = settings.domain, callers:% = settings.callers; "{}", event::START);
     tokio::spawn(follower::follow(node.clone(), Topic::Operators));
     tokio::spawn(follower::follow(node.clone(), Topic::Endpoints));
-    tokio::spawn(front::run(node.clone(), callers, connections.clone()));
-    tokio::spawn(front::serve_status(node.clone(), ready, METRICS_PATH));
-    tokio::spawn(front::serve_status(node.clone(), metrics, METRICS_PATH));
+    tokio::spawn(frontend::run(node.clone(), callers, connections.clone()));
+    tokio::spawn(frontend::serve_status(node.clone(), ready, METRICS_PATH));
+    tokio::spawn(frontend::serve_status(node.clone(), metrics, METRICS_PATH));
     tokio::spawn(duty::run(node.clone()));
     tokio::spawn(rulings::follow(node.clone()));
     tokio::spawn(rulings::save(node.clone()));
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -6,15 +6,15 @@
 
 use crate::cache::{self, Hits};
 use crate::exchange::{self, Answer, Call, Failure, Slot};
-use crate::hold::{Handle, Reservation};
-use crate::meter::{Metrics, Retry};
+use crate::metrics::{Metrics, Retry};
 use crate::node::{Node, Reply};
 use crate::plain;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
 use crate::relay::Relay;
-use crate::stopping;
-use crate::watch::{self, Watch};
+use crate::reservation::{Handle, Reservation};
+use crate::shutdown;
+use crate::stall::{self, Watch};
 use crosslane_coordination::admission::{self, Caller, Standing};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
@@ -115,7 +115,7 @@
         let hits = self.cache_hits().await;
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
-        stopping::check(&self.node, &self.route, &self.service, self.call.remaining())?;
+        shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
         Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
@@ -297,7 +297,7 @@
     ) -> Result<T, Failover> {
         let gap = Duration::from_millis(self.route.gap);
         let watch = Watch { node: &self.node, call: &self.call, at, intervals: (STALL_GAPS, gap) };
-        watch::unless_stalled(watch, attempt, || self.prepare_failover(at, sent)).await
+        stall::unless_stalled(watch, attempt, || self.prepare_failover(at, sent)).await
     }
 
     /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! Which requests a stopping node still accepts.
 
-use crosslane_gateway::stopping::Arrival;
+use crosslane_gateway::shutdown::Arrival;
 use rstest::rstest;
 use std::time::Duration;
 
