--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -235,8 +235,8 @@
             }
             Ok(Err(_)) => {
                 self.record_outcome(Outcome::Failed);
-                let Self { endpoint, started_at: began, slot: seat, .. } = self;
-                quarantine::check_for_crash(&seat.node, call, &endpoint, began).await;
+                let Self { endpoint, started_at, slot, .. } = self;
+                quarantine::check_for_crash(&slot.node, call, &endpoint, started_at).await;
                 Err(Failure::Broken)
             }
         }
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -169,9 +169,9 @@
     let engine = table.services.get(service).and_then(|config| config.engine);
     match (route.kind, engine) {
         (Kind::Stream { .. }, Some(engine)) => {
-            let run =
+            let generation =
                 stream::Generation::new(node.clone(), route.clone(), service.into(), engine, call);
-            run.start().await
+            generation.start().await
         }
         _ => plain::run(node, route, service, &call).await,
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The router node of a site, built on the platform's store and engines.
 //!
-//! Request path: `front` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`. `reserve`
-//! reserves decode memory, `cache` finds cached prompts, `kept` pools idle connections, `watch` detects stalled endpoints and
-//! `relay` passes streams on. `stopping` decides which requests a node accepts during its shutdown.
+//! Request path: `frontend` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`. `reserve`
+//! reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
+//! `relay` passes streams on. `server` starts and stops the node, and `shutdown` decides which requests it accepts meanwhile.
 //!
 //! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` blocks requests
 //! that crash endpoints, and `rulings` stores these decisions.
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -220,8 +220,8 @@
         answer.record_outcome(Outcome::Failed);
         let (request, to) = (call.metadata.id.as_str(), answer.endpoint.id.as_str());
         info!(request, to, why:% = error, outcome = "cut"; "{}", event::ATTEMPT);
-        let Answer { endpoint, started_at: began, .. } = answer;
-        quarantine::check_for_crash(&node, &call, &endpoint, began).await;
+        let Answer { endpoint, started_at, .. } = answer;
+        quarantine::check_for_crash(&node, &call, &endpoint, started_at).await;
         Some((Err::<Frame<Bytes>, _>(error), None))
     });
     let mut response = Response::new(BoxBody::new(StreamBody::new(frames)));
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -113,14 +113,14 @@
 
 /// Whether a request may be sent now.
 pub fn check(node: &Node, call: &Call) -> Result<(), Failure> {
-    match standing(node, call) {
+    match request_status(node, call) {
         Standing::Free | Standing::Suspect => Ok(()),
         Standing::OnTrial => Err(Failure::ProbeRunning),
         Standing::Shut(_) => Err(Failure::Blocked),
     }
 }
 
-fn standing(node: &Node, call: &Call) -> Standing {
+fn request_status(node: &Node, call: &Call) -> Standing {
     if node.quarantine().is_empty() {
         return Standing::Free;
     }
@@ -136,7 +136,7 @@
     purpose: &Purpose<'_>,
 ) -> Result<Option<Probe>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
-    match standing(node, call) {
+    match request_status(node, call) {
         Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
         Standing::OnTrial if runs => Err(log_rejection(call, Failure::ProbeRunning)),
         Standing::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
@@ -161,7 +161,7 @@
     if node.quarantine().gives_way(request, tag, node.now()) {
         return Err(beside_another(call));
     }
-    match standing(node, call) {
+    match request_status(node, call) {
         Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
         Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(probe),
     }
@@ -174,7 +174,7 @@
 
 /// Engines at which other suspects run; a suspect is not placed there.
 pub fn engines_with_probes(node: &Node, call: &Call) -> Vec<Key> {
-    if standing(node, call) != Standing::Suspect {
+    if request_status(node, call) != Standing::Suspect {
         return Vec::new();
     }
     let engines = node.quarantine().trials(call.fingerprint(), node.now());
@@ -185,7 +185,7 @@
 /// Refusal of a quarantined request, with a Retry-After.
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
     log_rejection(call, failure);
-    match standing(node, call) {
+    match request_status(node, call) {
         Standing::Shut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
         Standing::Free | Standing::Suspect | Standing::OnTrial => {
             stream::retry_later(failure.into())
@@ -205,9 +205,14 @@
 
 /// Checks whether an endpoint that broke off a response has crashed, and if so counts a strike against the request if its run
 /// had started only a moment before. An error, a network partition or an unresponsive endpoint is no crash.
-pub async fn check_for_crash(node: &Arc<Node>, call: &Call, endpoint: &Endpoint, began: Millis) {
+pub async fn check_for_crash(
+    node: &Arc<Node>,
+    call: &Call,
+    endpoint: &Endpoint,
+    started_at: Millis,
+) {
     let (request, to) = (call.metadata.id.as_str(), endpoint.id.as_str());
-    let ran_ms = node.now().since(began);
+    let ran_ms = node.now().since(started_at);
     let fingerprint = call.fingerprint();
     info!(request, to, ran_ms, fingerprint:%; "{}", event::BROKE);
     if ran_ms > BLAMED {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -105,8 +105,8 @@
                     self.answer.iter_mut().for_each(Answer::complete);
                     return None;
                 }
-                Chunk::Stalled(spare) => {
-                    self.generation.set_failover(*spare);
+                Chunk::Stalled(failover) => {
+                    self.generation.set_failover(*failover);
                     self.fail_over("engine silent").await;
                 }
                 Chunk::Broken(why) => {
@@ -133,9 +133,9 @@
 
     /// Drops a response that broke off, and checks whether its engine crashed while running the request.
     async fn drop_broken(&mut self) {
-        if let Some(Answer { endpoint, started_at: began, .. }) = self.answer.take() {
+        if let Some(Answer { endpoint, started_at, .. }) = self.answer.take() {
             let Generation { node, call, .. } = &self.generation;
-            quarantine::check_for_crash(node, call, &endpoint, began).await;
+            quarantine::check_for_crash(node, call, &endpoint, started_at).await;
         }
     }
 
@@ -143,13 +143,13 @@
         let Some(answer) = &mut self.answer else {
             return Chunk::Broken("no engine");
         };
-        let (at, sent, started_at) = (answer.key(), self.generation.attempts, Instant::now());
+        let (at, attempts, started_at) = (answer.key(), self.generation.attempts, Instant::now());
         let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
-        let frame = self.generation.unless_stalled(at, sent, frame).await;
+        let frame = self.generation.unless_stalled(at, attempts, frame).await;
         Metrics::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
         match frame {
-            Err(spare) => Chunk::Stalled(Box::new(spare)),
+            Err(failover) => Chunk::Stalled(Box::new(failover)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
             Ok(Ok(Some(Ok(frame)))) => Chunk::Data(frame.into_data().unwrap_or_default()),
             Ok(Ok(Some(Err(_)))) => Chunk::Broken("engine broke off"),
@@ -284,7 +284,7 @@
 
     /// Why the stream may not be resumed, if so; otherwise takes a retry from the budget.
     fn resume_denied(&self) -> Option<&'static str> {
-        let Generation { node, call, route, service, attempts: sent, .. } = &self.generation;
+        let Generation { node, call, route, service, attempts, .. } = &self.generation;
         if self.generation.has_failover() {
             return None;
         }
@@ -294,7 +294,7 @@
         if call.remaining().is_zero() {
             return Some("cut: time ran out");
         }
-        if *sent >= route.attempts {
+        if *attempts >= route.attempts {
             return Some("cut: no attempt left");
         }
         if !node.take_repeat(service) {
--- a/crates/gateway/src/stall.rs
+++ b/crates/gateway/src/stall.rs
@@ -33,12 +33,12 @@
 ) -> Result<T, S> {
     let Watch { node, call, at, intervals: (count, interval) } = watch;
     let mut attempt = pin!(attempt);
-    let mut silence = Silence::of(count);
+    let mut stall = Silence::of(count);
     let started_at = Instant::now();
     loop {
         match timeout(interval, attempt.as_mut()).await {
             Ok(done) => return Ok(done),
-            Err(_) if !silence.pause() => continue,
+            Err(_) if !stall.pause() => continue,
             Err(_) => record_stall(node, call, at, started_at),
         }
         let found = tokio::select! {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -292,19 +292,19 @@
     pub async fn unless_stalled<T>(
         &self,
         at: Key,
-        sent: u32,
+        attempts: u32,
         attempt: impl Future<Output = T>,
     ) -> Result<T, Failover> {
         let gap = Duration::from_millis(self.route.gap);
         let watch = Watch { node: &self.node, call: &self.call, at, intervals: (STALL_GAPS, gap) };
-        stall::unless_stalled(watch, attempt, || self.prepare_failover(at, sent)).await
+        stall::unless_stalled(watch, attempt, || self.prepare_failover(at, attempts)).await
     }
 
     /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
     /// budget, if the stream may be resumed.
-    async fn prepare_failover(&self, stalled: Key, sent: u32) -> Option<Failover> {
+    async fn prepare_failover(&self, stalled: Key, attempts: u32) -> Option<Failover> {
         let resumable = self.route.kind == Kind::Stream { resumable: true };
-        if !resumable || sent >= self.route.attempts {
+        if !resumable || attempts >= self.route.attempts {
             return None;
         }
         quarantine::check(&self.node, &self.call).ok()?;
--- a/crates/gateway/tests/quota.rs
+++ b/crates/gateway/tests/quota.rs
@@ -22,12 +22,12 @@
 #[case(Reply { name: "too late", waiting: false, verdict: Verdict::Granted, refunded: true })]
 #[case(Reply { name: "refused too late", waiting: false, verdict: Verdict::Over { wait: 1 }, refunded: false })]
 fn grant_that_arrives_too_late_is_refunded(#[case] case: Reply) {
-    let desk = Limiter::new(Bound::default());
-    let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
+    let limiter = Limiter::new(Bound::default());
+    let (number, reply) = limiter.register(SUBJECT, 3_000, Millis(0));
     let receiver = case.waiting.then_some(reply);
     let expected = case.refunded.then_some((SUBJECT, 3_000));
-    assert_eq!(desk.resolve(number, case.verdict), expected, "{}", case.name);
-    assert_eq!(desk.resolve(number, case.verdict), None, "{}: second reply", case.name);
+    assert_eq!(limiter.resolve(number, case.verdict), expected, "{}", case.name);
+    assert_eq!(limiter.resolve(number, case.verdict), None, "{}: second reply", case.name);
     assert_eq!(
         receiver.map(|mut reply| reply.try_recv().ok()),
         case.waiting.then_some(Some(case.verdict))
@@ -36,9 +36,9 @@
 
 #[rstest]
 fn queries_without_reply_expire() {
-    let desk = Limiter::new(Bound::default());
-    let (number, reply) = desk.register(SUBJECT, 3_000, Millis(0));
+    let limiter = Limiter::new(Bound::default());
+    let (number, reply) = limiter.register(SUBJECT, 3_000, Millis(0));
     drop(reply);
-    desk.remove_expired(Millis(5_000));
-    assert_eq!(desk.resolve(number, Verdict::Granted), None);
+    limiter.remove_expired(Millis(5_000));
+    assert_eq!(limiter.resolve(number, Verdict::Granted), None);
 }
