--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -79,7 +79,7 @@
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Failure {
-    /// Not sent: no connection could be opened.
+    /// Not sent: the endpoint could not be reached or may not be used.
     #[display("unreachable")]
     Unsent,
     /// The endpoint responded that it did not run the request.
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,4 +1,4 @@
-//! HTTP listeners: accepts caller connections, serves their requests and logs how each one ended; also serves
+//! HTTP listeners: accept callers' connections, serve their requests and log how each request ended; others serve
 //! readiness and metrics.
 
 use crate::event;
@@ -50,7 +50,7 @@
 /// Pause after a failed accept: the process may be out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts caller connections forever; `connections` tracks their tasks.
+/// Accepts callers' connections forever; `connections` tracks their tasks.
 pub async fn run(node: Arc<Node>, listener: TcpListener, connections: TaskTracker) {
     loop {
         match listener.accept().await {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The router node of a site, built on the platform's store and engines.
 //!
-//! Request path: `frontend` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`. `reserve`
-//! reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
+//! Request path: `frontend` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`.
+//! `reserve` reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
 //! `relay` passes streams on. `server` starts and stops the node, and `shutdown` decides which requests it accepts meanwhile.
 //!
 //! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` blocks requests
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -48,7 +48,7 @@
 pub struct Checks(Mutex<HashMap<Tag, Arc<OnceCell<bool>>>>);
 
 impl Checks {
-    /// Whether an endpoint is gone. Concurrent callers share a check. Only the result `true` is remembered, since a live
+    /// Whether an endpoint is gone. Concurrent requests share a check; only the result `true` is remembered, since a live
     /// endpoint may be gone at the next check.
     async fn gone(&self, endpoint: &Endpoint) -> bool {
         let tag = endpoint.tag();
@@ -120,6 +120,7 @@
     }
 }
 
+/// Whether a request is free, suspect, being probed or blocked.
 fn request_status(node: &Node, call: &Call) -> Standing {
     if node.quarantine().is_empty() {
         return Standing::Free;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -193,7 +193,7 @@
             Err(_) => Move::Refused,
         };
         self.log_move(&source, &target, &outcome);
-        // The source keeps the KV cache of the stopped run until it continues, so a run that the target refuses is not lost.
+        // The source keeps the KV cache until the run continues, so a run that the target refuses is not lost.
         let mut stopped =
             Slot::acquire(&self.generation.node, (key, 0.0), self.generation.expected_tokens());
         stopped.skip_rate_limit();
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -45,18 +45,23 @@
 }
 
 /// Refuses a request if the node is stopping and may be killed before the request ends.
-pub fn check(node: &Node, route: &Route, service: &str, left: Duration) -> Result<(), Refusal> {
+pub fn check(
+    node: &Node,
+    route: &Route,
+    service: &str,
+    remaining: Duration,
+) -> Result<(), Refusal> {
     let Some(announced_at) = *node.stopping.borrow() else {
         return Ok(());
     };
-    let late = Arrival {
+    let arrival = Arrival {
         since_announcement: Duration::from_millis(node.now().since(announced_at)),
         grace: Duration::from_millis(node.settings.grace),
-        remaining: left,
-        longest: node.longest(service).map_or(left, |longest| longest.min(left)),
+        remaining,
+        longest: node.longest(service).map_or(remaining, |longest| longest.min(remaining)),
         is_stream: matches!(route.kind, Kind::Stream { .. }),
     };
-    if late.is_accepted() {
+    if arrival.is_accepted() {
         Ok(())
     } else {
         Err(Refusal::retry_after(Reason::Stopping, RETRY_AFTER))
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -157,9 +157,9 @@
         }
     }
 
-    /// Engines that still cache the prompt of a caller that resumes a stream. Other callers cause no lookup: one
-    /// without a part of its stream was mostly refused before its prefill, or only looks like one that retries, so
-    /// its lookups hit nothing (537 misses a day on eleven nodes, each asking 47 engines).
+    /// Engines that still cache the prompt of a caller that resumes a stream. There is no lookup for other late callers:
+    /// most were refused before their prefill, or are no retries at all, so no engine has their prompt (537 lookups a
+    /// day on eleven nodes, each at 47 engines, without a hit).
     async fn cache_hits(&self) -> Hits {
         match &self.call.metadata.part {
             Some(part) if self.timeliness == Standing::Resumed => {
