--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -48,7 +48,7 @@
     pub deadline: Deadline,
     /// Fingerprint, computed on first use.
     pub fingerprint: Arc<OnceLock<Fingerprint>>,
-    /// Tokens taken from its organisation's rate limit.
+    /// Grant from its organisation's rate limit.
     pub grant: Arc<Grant>,
 }
 
