--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
-//! Short calls to engines on kept connections: reservations, handles and orders.
+//! Client for short control calls to engines over pooled connections: reservations, handles and orders.
 
-use crate::kept::Kept;
+use crate::idle::Connections;
 use bytes::Bytes;
 use crosslane_transport::connection::{Connection, Error, Outgoing};
 use http_body_util::{BodyExt, Limited};
@@ -9,66 +9,66 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Time to open a connection: two ways of a few milliseconds, with room for one lost packet.
-pub const CONNECT: Duration = Duration::from_millis(250);
+/// Timeout to open a connection: a round trip of a few milliseconds, with room for one lost packet.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest answer to a short call, in bytes.
-const ANSWER_BYTES: usize = 65_536;
+/// Longest response to a control call.
+const MAX_RESPONSE_BYTES: usize = 65_536;
 
-/// Rest after which a connection is not used again: endpoints close idle ones after seconds.
-const REST: Duration = Duration::from_millis(1_500);
+/// Idle time after which a connection is not reused: endpoints close idle ones after seconds.
+const MAX_IDLE: Duration = Duration::from_millis(1_500);
 
-/// Connections kept for each engine; calls are short and few at once.
-const KEPT: usize = 2;
+/// Idle connections kept for each engine; calls are short and few run at once.
+const MAX_IDLE_PER_ENGINE: usize = 2;
 
-/// An answer that was read whole.
+/// A response with its body read.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// Status.
+pub struct Response {
+    /// HTTP status.
     pub status: StatusCode,
     /// Body.
     pub body: Bytes,
 }
 
-/// Makes short calls.
+/// Makes control calls to engines.
 #[derive(Clone, Debug)]
 pub struct Control {
-    kept: Kept,
+    idle: Connections,
 }
 
 impl Default for Control {
     fn default() -> Self {
-        Self { kept: Kept::new(REST, KEPT) }
+        Self { idle: Connections::new(MAX_IDLE, MAX_IDLE_PER_ENGINE) }
     }
 }
 
 impl Control {
-    /// Makes a call and reads its answer.
+    /// Makes a call and reads the whole response.
     pub async fn call(
         &self,
         to: SocketAddr,
         request: Outgoing,
-        limit: Duration,
-    ) -> Result<Answer, Error> {
-        let until = Instant::now() + limit;
-        let mut connection = match self.kept.take(to) {
+        timeout: Duration,
+    ) -> Result<Response, Error> {
+        let until = Instant::now() + timeout;
+        let mut connection = match self.idle.take(to) {
             Some(connection) => connection,
-            None => Connection::open(to, CONNECT.min(limit)).await?,
+            None => Connection::open(to, CONNECT_TIMEOUT.min(timeout)).await?,
         };
         let response = connection.send(request, until).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = match timeout_at(until, body.collect()).await {
             Err(_) => return Err(Error::Timeout { to }),
             Ok(Err(error)) => return Err(Error::Broken { to, message: error.to_string() }),
             Ok(Ok(body)) => body.to_bytes(),
         };
-        self.kept.keep(to, connection);
-        Ok(Answer { status, body })
+        self.idle.put_back(to, connection);
+        Ok(Response { status, body })
     }
 
-    /// Closes connections that rested too long.
-    pub fn tidy(&self) {
-        self.kept.tidy();
+    /// Closes connections that were idle for too long.
+    pub fn remove_expired(&self) {
+        self.idle.remove_expired();
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,15 @@
-//! The node that serves a site through the platform.
+//! The router node of a site, built on the platform's store and engines.
 //!
-//! `front` takes callers' requests; `plain` and `stream` carry them to endpoints by `exchange`, with
-//! memory from `reserve` and what engines keep from `cache`, over connections of their own or `kept` ones; `watch` looks
-//! after those whose endpoint is silent, `stopping` says what a node takes that stops.
-//! `limit` keeps to the rate limits that endpoints name, `quota` to those of organisations.
-//! `quarantine` keeps requests that make endpoints crash away from them, `rulings` keeps what was decided about these in the
-//! store, `pause` notices that the machine was suspended.
-//! `follower` reads the store into the `mirror`, `peers` and `pull` keep nodes at the same view, the
-//! `directory` reads endpoints from it, `duty` gives orders to engines. Decisions are made in the coordination layer.
+//! Request path: `frontend` accepts callers' requests; `plain` and `stream` send them to endpoints through `exchange`.
+//! `reserve` reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
+//! `relay` passes streams on. `server` starts and stops the node, and `shutdown` decides which requests it accepts meanwhile.
+//!
+//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` blocks requests
+//! that crash endpoints, and `rulings` stores these decisions.
+//!
+//! State: `follower` replicates the store into the `mirror`, `peers` and `pull` synchronise it between nodes, and `directory`
+//! decodes endpoints from it. `duty` assigns stages to engines, and `pause` detects that the VM was suspended. Decisions are
+//! made in the coordination crate.
 
 pub mod cache;
 pub mod control;
@@ -17,13 +19,12 @@
 pub mod events;
 pub mod exchange;
 pub mod follower;
-pub mod front;
+pub mod frontend;
 pub mod history;
-pub mod hold;
-pub mod kept;
+pub mod idle;
 pub mod limit;
 pub mod members;
-pub mod meter;
+pub mod metrics;
 pub mod mirror;
 pub mod node;
 pub mod patch;
@@ -35,9 +36,10 @@
 pub mod quota;
 pub mod refusal;
 pub mod relay;
+pub mod reservation;
 pub mod reserve;
 pub mod rulings;
-pub mod site;
-pub mod stopping;
+pub mod server;
+pub mod shutdown;
+pub mod stall;
 pub mod stream;
-pub mod watch;
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text in the usual exposition format.
+//! Metrics: counters, gauges and latency histograms in the Prometheus text format.
 
 use crate::refusal::{REASONS, Reason};
 use prometheus::{
@@ -8,88 +8,88 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Upper bounds of the histograms' buckets, in seconds: around the sites' targets of 0.3 and 0.9 s.
-const BUCKETS: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.9, 2.0, 5.0];
+/// Upper bounds of the histogram buckets, denser around the usual latency targets of 0.3 and 0.9 s.
+const BUCKETS_S: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 0.9, 2.0, 5.0];
 
-/// Log lines that this process dropped since nobody read them; its appender counts them.
+/// Log lines that this process dropped because its log output was not read; counted by the log appender.
 pub static LINES_DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Why a request was sent again.
+/// Why a request was retried, or why a retry was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// No connection.
+    /// The endpoint could not be reached.
     Unreachable,
-    /// The endpoint's limit had no room.
-    Limited,
-    /// The endpoint said that it did not run it.
+    /// The endpoint was at its rate limit.
+    RateLimited,
+    /// The endpoint refused the request without running it.
     Refused,
     /// The endpoint broke off.
     Broken,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint responded with a server error.
     Error,
-    /// A stream was continued elsewhere.
+    /// A stream was resumed at another engine.
     Resumed,
-    /// Denied: the budget is spent.
+    /// Denied: the retry budget is exhausted.
     DeniedBudget,
-    /// Denied: endpoints ended under the request.
-    Barred,
+    /// Denied: the request is quarantined.
+    Quarantined,
 }
 
-/// Every retry reason with its name.
+/// Every retry reason with its metric label, in the order of `Retry`.
 pub const RETRIES: [(Retry, &str); 8] = [
     (Retry::Unreachable, "unreachable"),
-    (Retry::Limited, "limited"),
+    (Retry::RateLimited, "limited"),
     (Retry::Refused, "refused"),
     (Retry::Broken, "broken"),
     (Retry::Error, "error"),
     (Retry::Resumed, "resumed"),
     (Retry::DeniedBudget, "denied_budget"),
-    (Retry::Barred, "barred"),
+    (Retry::Quarantined, "barred"),
 ];
 
 /// All metrics of a node.
 #[derive(Debug)]
-pub struct Meter {
+pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
     refusals: IntCounterVec,
     retries: IntCounterVec,
     store_errors: IntCounterVec,
-    /// Pulls from other nodes that failed.
+    /// Failed pulls from other nodes.
     pub pull_failures: IntCounter,
-    /// Endpoints' records that name no endpoint to use.
+    /// Endpoint records that were skipped as unusable.
     pub skipped_records: IntCounter,
-    /// Endpoints that ended right after they had begun to run a request.
+    /// Endpoints that crashed right after they started to run a request.
     pub strikes: IntCounter,
-    /// Times that an endpoint fell silent within an attempt.
-    pub silences: IntCounter,
-    /// Endpoints that name a limit for all nodes together.
-    pub limited: IntGauge,
-    /// Requests that are shut out.
-    pub shut_out: IntGauge,
-    /// Bytes of the store's records handed to other nodes.
-    pub told_bytes: IntCounter,
-    /// Time of a pull from another node.
+    /// Endpoints that stalled during an attempt.
+    pub stalls: IntCounter,
+    /// Endpoints that name a rate limit.
+    pub limited_endpoints: IntGauge,
+    /// Blocked requests.
+    pub blocked_requests: IntGauge,
+    /// Bytes of store records sent to other nodes.
+    pub sent_bytes: IntCounter,
+    /// Duration of a pull from another node.
     pub pull: Histogram,
-    /// Time to the first byte or event.
-    pub first: Histogram,
-    /// Time until memory was reserved at an engine.
-    pub wait: Histogram,
-    /// Time of a prefill.
+    /// Time from the arrival of a request to the first byte or event of its response.
+    pub first_byte: Histogram,
+    /// Time from the arrival of a request until memory was reserved at an engine.
+    pub reservation_wait: Histogram,
+    /// Duration of a prefill.
     pub prefill: Histogram,
-    /// Pauses between events.
-    pub gap: Histogram,
+    /// Gaps between events.
+    pub event_gap: Histogram,
     /// Version of the configuration in force.
-    pub version: IntGauge,
-    /// Endpoints known.
+    pub configuration_version: IntGauge,
+    /// Known endpoints.
     pub endpoints: IntGauge,
-    /// Other nodes heard.
+    /// Other live nodes.
     pub peers: IntGauge,
     lines_dropped: IntGauge,
 }
 
-impl Meter {
-    /// Metrics that start from zero.
+impl Metrics {
+    /// Registers all metrics, starting from zero.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| {
@@ -98,7 +98,7 @@
             Ok::<_, prometheus::Error>(counters)
         };
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKETS_S.to_vec());
             let histogram = Histogram::with_opts(options)?;
             registry.register(Box::new(histogram.clone()))?;
             Ok::<_, prometheus::Error>(histogram)
@@ -121,16 +121,22 @@
             pull_failures: counter("crosslane_pull_failures", "Failed pulls from other nodes")?,
             skipped_records: counter("crosslane_skipped_records", "Endpoints' records not used")?,
             strikes: counter("crosslane_strikes", "Endpoints that ended under a request")?,
-            silences: counter("crosslane_silences", "Endpoints that fell silent")?,
-            limited: gauge("crosslane_limited_endpoints", "Endpoints that name a limit")?,
-            shut_out: gauge("crosslane_shut_out", "Requests that are shut out")?,
-            told_bytes: counter("crosslane_told_bytes", "Bytes of records handed to other nodes")?,
+            stalls: counter("crosslane_silences", "Endpoints that fell silent")?,
+            limited_endpoints: gauge("crosslane_limited_endpoints", "Endpoints that name a limit")?,
+            blocked_requests: gauge("crosslane_shut_out", "Requests that are shut out")?,
+            sent_bytes: counter("crosslane_told_bytes", "Bytes of records handed to other nodes")?,
             pull: histogram("crosslane_pull_seconds", "Time of a pull from another node")?,
-            first: histogram("crosslane_first_seconds", "Time to the first byte or event")?,
-            wait: histogram("crosslane_reserve_seconds", "Time until memory was reserved")?,
+            first_byte: histogram("crosslane_first_seconds", "Time to the first byte or event")?,
+            reservation_wait: histogram(
+                "crosslane_reserve_seconds",
+                "Time until memory was reserved",
+            )?,
             prefill: histogram("crosslane_prefill_seconds", "Time of a prefill")?,
-            gap: histogram("crosslane_gap_seconds", "Pauses between events")?,
-            version: gauge("crosslane_config_version", "Version of the configuration in force")?,
+            event_gap: histogram("crosslane_gap_seconds", "Pauses between events")?,
+            configuration_version: gauge(
+                "crosslane_config_version",
+                "Version of the configuration in force",
+            )?,
             endpoints: gauge("crosslane_endpoints", "Endpoints known")?,
             peers: gauge("crosslane_peers", "Other nodes heard")?,
             lines_dropped: gauge("crosslane_log_lines_dropped", "Log lines dropped")?,
@@ -138,33 +144,33 @@
         })
     }
 
-    /// Counts a request's ending.
-    pub fn ending(&self, ending: &str) {
+    /// Counts a request by its ending.
+    pub fn count_ending(&self, ending: &str) {
         self.requests.with_label_values(&[ending]).inc();
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: Reason) {
+    pub fn count_refusal(&self, reason: Reason) {
         self.refusals.with_label_values(&[REASONS[reason as usize].1]).inc();
     }
 
-    /// Counts a retry, or one denied.
-    pub fn retried(&self, retry: Retry) {
+    /// Counts a retry or a denied retry.
+    pub fn count_retry(&self, retry: Retry) {
         self.retries.with_label_values(&[RETRIES[retry as usize].1]).inc();
     }
 
     /// Counts a failed call to the store.
-    pub fn store_failed(&self, topic: &str) {
+    pub fn count_store_error(&self, topic: &str) {
         self.store_errors.with_label_values(&[topic]).inc();
     }
 
-    /// Notes a time in a histogram.
-    pub fn time(histogram: &Histogram, time: Duration) {
+    /// Adds a duration to a histogram.
+    pub fn observe(histogram: &Histogram, time: Duration) {
         histogram.observe(time.as_secs_f64());
     }
 
-    /// All metrics as text.
-    pub fn text(&self) -> Result<Vec<u8>> {
+    /// Encodes all metrics as text.
+    pub fn encode(&self) -> Result<Vec<u8>> {
         let dropped = LINES_DROPPED.load(Ordering::Relaxed);
         self.lines_dropped.set(dropped.cast_signed());
         let mut text = Vec::new();
--- /dev/null
+++ b/crates/gateway/src/shutdown.rs
@@ -0,0 +1,69 @@
+//! Graceful shutdown: which requests a node still accepts after its stop was announced.
+//!
+//! The load balancer needs two health checks, a second apart, to notice that a node is not ready; and if most nodes of a
+//! failure domain stop at once, it keeps sending requests to all of them. So a stopping node accepts requests that are sure
+//! to end before it is killed. Streams, which last seconds, are accepted only at first, and only if such streams end in time.
+
+use crate::node::Node;
+use crate::refusal::{RETRY_AFTER, Reason, Refusal};
+use crosslane_state::route::{Kind, Route};
+use std::time::Duration;
+
+/// Time after the announcement in which streams and calls are accepted if requests to their service usually end in
+/// time. Later, only calls are accepted, and only if their deadline is before the kill.
+pub const ACCEPT_TIME: Duration = Duration::from_millis(2_800);
+
+/// Time before the kill by which an accepted request must end: covers a busy VM and the transmission of the
+/// response.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+
+/// A request that arrived after the announcement.
+#[derive(Clone, Copy, Debug)]
+pub struct Arrival {
+    /// Time since the announcement.
+    pub since_announcement: Duration,
+    /// Time from the announcement to the kill.
+    pub grace: Duration,
+    /// Time until the deadline of the request.
+    pub remaining: Duration,
+    /// Longest recent duration of requests to the same service.
+    pub longest: Duration,
+    /// Whether the response is a stream.
+    pub is_stream: bool,
+}
+
+impl Arrival {
+    /// Whether the request is accepted.
+    pub fn is_accepted(self) -> bool {
+        let ends_in_time =
+            |duration: Duration| self.since_announcement + duration + KILL_MARGIN <= self.grace;
+        match self.since_announcement <= ACCEPT_TIME {
+            true => ends_in_time(self.longest),
+            false => !self.is_stream && ends_in_time(self.remaining),
+        }
+    }
+}
+
+/// Refuses a request if the node is stopping and may be killed before the request ends.
+pub fn check(
+    node: &Node,
+    route: &Route,
+    service: &str,
+    remaining: Duration,
+) -> Result<(), Refusal> {
+    let Some(announced_at) = *node.stopping.borrow() else {
+        return Ok(());
+    };
+    let arrival = Arrival {
+        since_announcement: Duration::from_millis(node.now().since(announced_at)),
+        grace: Duration::from_millis(node.settings.grace),
+        remaining,
+        longest: node.longest(service).map_or(remaining, |longest| longest.min(remaining)),
+        is_stream: matches!(route.kind, Kind::Stream { .. }),
+    };
+    if arrival.is_accepted() {
+        Ok(())
+    } else {
+        Err(Refusal::retry_after(Reason::Stopping, RETRY_AFTER))
+    }
+}
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,20 +1,20 @@
-//! Streams of generated tokens: memory reserved, prompt read, tokens generated and relayed.
+//! Token streams: reserves decode memory, prefills the prompt, then decodes and relays the tokens.
 //!
-//! Decode memory runs out first, and a prefill's result lives for half a second. So memory is
-//! reserved at a decoding engine before the prompt is read; the engine itself arbitrates between
-//! nodes. A stream that breaks off is continued at another engine if its route allows.
-
-use crate::cache::{self, Keepers};
-use crate::exchange::{self, Answer, Call, Failure, Seat};
-use crate::hold::{Handle, Hold};
-use crate::meter::{Meter, Retry};
+//! Decode memory is the scarcest resource, and a prefill's KV cache expires after half a second. So memory
+//! is reserved at a decode engine before the prefill; concurrent nodes are arbitrated by the engine itself.
+//! A stream that breaks off is continued at another engine if its route allows.
+
+use crate::cache::{self, Hits};
+use crate::exchange::{self, Answer, Call, Failure, Slot};
+use crate::metrics::{Metrics, Retry};
 use crate::node::{Node, Reply};
 use crate::plain;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
 use crate::relay::Relay;
-use crate::stopping;
-use crate::watch::{self, Watch};
+use crate::reservation::{Handle, Reservation};
+use crate::shutdown;
+use crate::stall::{self, Watch};
 use crosslane_coordination::admission::{self, Caller, Standing};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
@@ -29,168 +29,181 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for a prefill, queueing included: the longest prompts take some 200 ms. After it the
-/// decoding engine reads the prompt itself, while its reservation still lasts.
-const PREFILL_LIMIT: Duration = Duration::from_millis(1_000);
+/// Timeout of a prefill, queueing included: prefill of the longest prompts takes up to 200 ms. After it the
+/// decode engine prefills the prompt itself, while its reservation is still valid.
+const PREFILL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Prompt tokens at a prefilling engine that count as full: what the sites' engines read in 0.6 to
-/// 1 s, after which a first event would be late.
-const PREFILL_BACKLOG: u64 = 33_000;
+/// Queued prompt tokens at which a prefill engine counts as full: engines prefill that many in 0.6 to 1 s,
+/// after which a first event would be late.
+const PREFILL_CAPACITY_TOKENS: u64 = 33_000;
 
-/// Prefilling engines that are tried where limits have no room; each costs a round trip to the limit's owner.
-const PREFILLERS: usize = 4;
+/// Prefill engines to try when they are at their rate limits; each try costs a round trip to the limit's owner.
+const MAX_PREFILL_ENGINES: usize = 4;
 
-/// Longest answer to a prefill, in bytes.
-const PREFILL_BYTES: usize = 16_384;
+/// Longest response to a prefill.
+const MAX_PREFILL_RESPONSE_BYTES: usize = 16_384;
 
-/// Pauses, each as long as the longest on time, after which an engine counts as silent: no stream that it makes
-/// is on time any more.
-const SILENT: u32 = 5;
+/// Consecutive intervals without data, each as long as the route's longest gap between events, after which an engine
+/// counts as stalled: none of its streams is on time any more.
+const STALL_GAPS: u32 = 5;
 
-/// When a refused caller should come back, in milliseconds: drafts last some 3 s, and bursts are
-/// over within seconds. Spread, so that the refused don't come back at once.
-const COME_BACK_MILLIS: std::ops::Range<u64> = 2_000..4_400;
+/// Retry-After of a refused caller: streams last some 3 s, and bursts are over within seconds. Randomised,
+/// so that refused callers don't all return at once.
+const RETRY_AFTER_MS: std::ops::Range<u64> = 2_000..4_400;
 
-/// A stream on its way.
-pub struct Run {
+/// One streaming request, from reservation to relay; it may run at several engines in turn.
+pub struct Generation {
     /// Node.
     pub node: Arc<Node>,
     /// Request.
     pub call: Call,
-    /// Route it came by.
+    /// Matched route.
     pub route: Route,
-    /// Service it falls to.
+    /// Service that serves it.
     pub service: String,
-    /// What the service's engines can do.
+    /// Capabilities of the service's engines.
     pub engine: Engine,
-    /// What admission knows of the caller.
+    /// What admission control knows of the caller.
     pub caller: Caller,
-    /// Whether the caller can still be answered on time.
-    pub standing: Standing,
-    /// Endpoints to which the request was sent.
-    pub sent: u32,
-    /// Prefilling engine that read the prompt, and may still keep it.
-    read_at: Option<Key>,
-    /// What the next attempt needs: the engine before fell silent.
-    spare: Option<Spare>,
+    /// Whether the response can still be on time.
+    pub timeliness: Standing,
+    /// Attempts that reached an endpoint.
+    pub attempts: u32,
+    /// Prefill engine that prefilled the prompt and may still cache it.
+    prefilled_at: Option<Key>,
+    /// Prepared next attempt, if the previous engine stalled.
+    failover: Option<Failover>,
 }
 
-/// All that an attempt at another engine needs, with its repeat taken from the budget.
+/// Everything an attempt at another engine needs; its retry has been taken from the budget.
 #[derive(Debug)]
-pub struct Spare {
-    hold: Hold,
-    /// Its prompt, if that was to be read elsewhere first.
+pub struct Failover {
+    reservation: Reservation,
+    /// KV cache of the prompt, if it was prefilled at another engine.
     handle: Option<Handle>,
 }
 
-impl Run {
-    /// A stream for a service's engines.
+impl Generation {
+    /// Creates a streaming request for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
             target: route.target_latency_ms,
             silence: route.caller_idle_timeout_ms(),
-            spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
-            resumes: call.ask.last_event.is_some(),
+            spent: call.metadata.patience.map_or(0, |patience| node.spent(&route.name, patience)),
+            resumes: call.metadata.last_event.is_some(),
         };
-        let standing = Standing::from(&caller);
-        let (sent, read_at, spare) = (0, None, None);
-        Self { node, call, route, service, engine, caller, standing, sent, read_at, spare }
+        let timeliness = Standing::from(&caller);
+        let (attempts, prefilled_at, failover) = (0, None, None);
+        Self {
+            node,
+            call,
+            route,
+            service,
+            engine,
+            caller,
+            timeliness,
+            attempts,
+            prefilled_at,
+            failover,
+        }
     }
 
-    /// Carries the request to engines and returns the stream.
+    /// Runs the request at engines and returns the event stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
-        let patience = Duration::from_millis(self.standing.wait(&self.caller));
-        let until = self.call.deadline.instant().min(self.call.arrived + patience);
-        let keepers = self.keepers().await;
-        let (mut hold, kept) = self.reserve_best(&keepers, until).await?;
-        // It may have waited for memory until a stop leaves it too little time to end.
-        stopping::check(&self.node, &self.route, &self.service, self.call.left())?;
-        Meter::time(&self.node.meter.wait, self.call.arrived.elapsed());
-        let mut handle = match self.reader(kept) {
+        let max_wait = Duration::from_millis(self.timeliness.wait(&self.caller));
+        let until = self.call.deadline.instant().min(self.call.arrived + max_wait);
+        let hits = self.cache_hits().await;
+        let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
+        // The wait for memory may have used up the time that a shutdown leaves it to end.
+        shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
+        Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
+        let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
-            Reader::Prefilling => self.first_prefill(keepers.prefilling).await?,
+            Reader::Prefilling => self.first_prefill(hits.prefill).await?,
         };
-        if !self.node.pool().usable(hold.key) {
-            // It announced that it leaves while the prompt was read.
-            let until = self.call.deadline.instant().min(Instant::now() + patience);
-            hold = self.reserve(until, None).await?;
+        if !self.node.pool().usable(reservation.key) {
+            // The engine announced its departure during the prefill.
+            let until = self.call.deadline.instant().min(Instant::now() + max_wait);
+            reservation = self.reserve(until, None).await?;
         }
-        let answer = self.decode(&mut hold, handle.as_mut(), self.call.ask.last_event).await;
+        let answer =
+            self.decode(&mut reservation, handle.as_mut(), self.call.metadata.last_event).await;
         let answer = match answer {
             Ok(answer) => answer,
-            Err(failure) => self.again(failure).await?,
+            Err(failure) => self.retry(failure).await?,
         };
-        let stream = self.without_error(answer).await;
-        Meter::time(&self.node.meter.first, self.call.arrived.elapsed());
+        let stream = self.retry_error(answer).await;
+        Metrics::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
             Err(error) => plain::relay(&self.node, error, &self.call),
         })
     }
 
-    /// An engine's answer that is an error is no stream: another one's in its place if the request
-    /// may run again, or else the error.
-    async fn without_error(&mut self, mut answer: Answer) -> Result<Answer, Answer> {
+    /// Retries at another engine if the response is an error rather than a stream and the request may run
+    /// again. Returns the error response if the retry is not allowed or fails.
+    async fn retry_error(&mut self, mut answer: Answer) -> Result<Answer, Answer> {
         if answer.parts.status.is_success() {
             return Ok(answer);
         }
-        answer.note(Outcome::Error);
+        answer.record_outcome(Outcome::Error);
         if !self.route.kind.idempotent() {
             return Err(answer);
         }
-        answer.rest();
-        match self.again(Failure::Broken).await {
+        answer.end_probe();
+        match self.retry(Failure::Broken).await {
             Ok(other) if other.parts.status.is_success() => Ok(other),
             Ok(_) | Err(_) => Err(answer),
         }
     }
 
-    /// Engines that keep the prompt of a caller who takes a stream up again. One that has no part of its
-    /// answer was mostly refused before its prompt was read, or only seemed to come back: 537 such questions
-    /// in a day's logs of eleven nodes, to 47 engines each, found nothing.
-    async fn keepers(&self) -> Keepers {
-        match &self.call.ask.part {
-            Some(part) if self.standing == Standing::Resumed => {
-                cache::find(&self.node, &self.service, &self.call.ask.id, part).await
+    /// Engines that still cache the prompt of a caller that resumes a stream. There is no lookup for other late callers:
+    /// most were refused before their prefill, or are no retries at all, so no engine has their prompt (537 lookups a
+    /// day on eleven nodes, each at 47 engines, without a hit).
+    async fn cache_hits(&self) -> Hits {
+        match &self.call.metadata.part {
+            Some(part) if self.timeliness == Standing::Resumed => {
+                cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
-            _ => Keepers::default(),
+            _ => Hits::default(),
         }
     }
 
-    /// Reserves memory where the prompt is kept, or else anywhere.
-    async fn reserve_best(
+    /// Reserves memory at an engine that caches the prompt, or else at any engine.
+    async fn reserve_near_cache(
         &self,
-        keepers: &Keepers,
+        hits: &Hits,
         until: Instant,
-    ) -> Result<(Hold, Kept), Refusal> {
-        if let Some(keeper) = keepers.decoding
-            && let Some(hold) = self.reserve_at(keeper).await
+    ) -> Result<(Reservation, Kept), Refusal> {
+        if let Some(cached_at) = hits.decode
+            && let Some(reservation) = self.reserve_at(cached_at).await
         {
-            return Ok((hold, Kept::Decoding));
+            return Ok((reservation, Kept::Decoding));
         }
-        let hold = self.reserve(until, None).await?;
-        let kept = keepers.prefilling.map_or(Kept::Nowhere, |_| Kept::Prefilling);
-        Ok((hold, kept))
+        let reservation = self.reserve(until, None).await?;
+        let kept = hits.prefill.map_or(Kept::Nowhere, |_| Kept::Prefilling);
+        Ok((reservation, kept))
     }
 
-    fn reader(&self, kept: Kept) -> Reader {
-        let queue = self.prefiller().map(|(_, load)| load);
+    /// Chooses which kind of engine prefills the prompt.
+    fn choose_reader(&self, kept: Kept) -> Reader {
+        let queue = self.choose_prefill().map(|(_, load)| load);
         let engines = self.node.pool().prefilling(&self.service);
         Reader::choose(kept, queue, engines)
     }
 
-    /// The prefilling engine with the shortest queue, and its load.
-    fn prefiller(&self) -> Option<(Key, f64)> {
+    /// Prefill engine with the shortest queue, and its load.
+    fn choose_prefill(&self) -> Option<(Key, f64)> {
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
-        let (capacity, connections) = (PREFILL_BACKLOG, self.node.connections(service));
+        let (capacity, connections) = (PREFILL_CAPACITY_TOKENS, self.node.connections(service));
         let query = Query { service, stage, capacity, connections, room: None, except: &[] };
         self.node.pool().choose(query, self.node.now())
     }
 
-    /// The best decoding engine that has room for the request, if its load is not above a share of a full
-    /// one, and its load.
-    pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
-        let room = Some(Room { tokens: self.tokens(), below });
+    /// Best decode engine with room for the request and a load, as a share of its capacity, not above `below`; with
+    /// its load.
+    pub fn choose_decode(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
+        let room = Some(Room { tokens: self.expected_tokens(), below });
         let (service, capacity) = (self.service.as_str(), self.engine.kv_capacity_tokens);
         let connections = self.node.connections(service);
         let stage = Stage::Decode;
@@ -198,74 +211,75 @@
         self.node.pool().choose(query, self.node.now())
     }
 
-    /// Has the prompt read for a first attempt. If that fails, the decoding engine is to read it
-    /// itself, as the retry budget allows: the engine that failed had an attempt.
-    async fn first_prefill(&mut self, keeper: Option<Key>) -> Result<Option<Handle>, Refusal> {
-        let read = self.prefill(keeper).await;
-        if read.is_none() && !self.node.take_repeat(&self.service) {
-            self.node.meter.retried(Retry::DeniedBudget);
-            return Err(come_back(Reason::Refused));
+    /// Prefills the prompt for a first attempt. If that fails, the decode engine does the prefill itself, if the
+    /// retry budget allows: the failed prefill counts as an attempt.
+    async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
+        let prefilled = self.prefill(cached_at).await;
+        if prefilled.is_none() && !self.node.take_repeat(&self.service) {
+            self.node.meter.count_retry(Retry::DeniedBudget);
+            return Err(retry_later(Reason::Refused));
         }
-        Ok(read.map(|(at, handle)| {
-            self.read_at = Some(at);
+        Ok(prefilled.map(|(at, handle)| {
+            self.prefilled_at = Some(at);
             handle
         }))
     }
 
-    /// Has the prompt read at an engine that keeps it, or at the best one whose limit has room.
-    async fn prefill(&self, mut keeper: Option<Key>) -> Option<(Key, Handle)> {
-        for _ in 0..PREFILLERS {
-            let place = match keeper.take() {
+    /// Prefills the prompt at an engine that caches it, or else at the best one that is below its rate limit.
+    async fn prefill(&self, mut cached_at: Option<Key>) -> Option<(Key, Handle)> {
+        for _ in 0..MAX_PREFILL_ENGINES {
+            let place = match cached_at.take() {
                 Some(key) => (key, 0.0),
-                None => self.prefiller()?,
+                None => self.choose_prefill()?,
             };
             match self.prefill_at(place).await {
-                Err(Failure::Limited) => {}
-                read => return Some((place.0, read.ok()??)),
+                Err(Failure::RateLimited) => {}
+                prefilled => return Some((place.0, prefilled.ok()??)),
             }
         }
         None
     }
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
-        let began = Instant::now();
-        let seat = Seat::take(&self.node, place, self.call.ask.prompt);
-        let until = self.call.deadline.instant().min(began + PREFILL_LIMIT);
-        let answer = exchange::send(&self.call, seat, &Purpose::Prefill, until).await?;
+        let started_at = Instant::now();
+        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt);
+        let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
+        let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
-        answer.note(Outcome::Good);
-        let (_, body) = answer.read(&self.call, PREFILL_BYTES, until).await?;
+        answer.record_outcome(Outcome::Good);
+        let (_, body) = answer.read_body(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
-        Meter::time(&self.node.meter.prefill, began.elapsed());
+        Metrics::observe(&self.node.meter.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
-    /// Sends the request to the engine that holds its memory.
+    /// Sends the request to the engine that granted the reservation.
     async fn decode(
         &mut self,
-        hold: &mut Hold,
+        reservation: &mut Reservation,
         mut handle: Option<&mut Handle>,
         last_event: Option<u64>,
     ) -> Result<Answer, Failure> {
-        let Some(seat) = hold.seat.take() else {
+        let Some(slot) = reservation.slot.take() else {
             return Err(Failure::Unsent);
         };
         let source = handle.as_deref().and_then(Handle::source);
-        let purpose = Purpose::Decode { hold: hold.id.as_deref(), source, last_event };
-        let (at, until) = (seat.key, self.call.deadline.instant());
-        let sending = exchange::send(&self.call, seat, &purpose, until);
-        let answer = match self.unless_silent(at, self.sent + 1, sending).await {
+        let purpose = Purpose::Decode { hold: reservation.id.as_deref(), source, last_event };
+        let (at, until) = (slot.key, self.call.deadline.instant());
+        let sending = exchange::send(&self.call, slot, &purpose, until);
+        let answer = match self.unless_stalled(at, self.attempts + 1, sending).await {
             Ok(answer) => answer,
-            Err(spare) => {
-                self.spare = Some(spare);
+            Err(failover) => {
+                self.failover = Some(failover);
                 Err(Failure::Timeout)
             }
         };
-        self.sent += u32::from(answer.as_ref().map_or_else(|it| it.sent(), |_| true));
+        self.attempts +=
+            u32::from(answer.as_ref().map_or_else(|failure| failure.was_sent(), |_| true));
         if answer.is_ok() {
-            hold.id = None;
+            reservation.id = None;
             if let Some(handle) = &mut handle {
                 handle.id = None;
             }
@@ -273,107 +287,111 @@
         answer
     }
 
-    /// Waits for an engine. A silent one is given up only once another one has granted memory and the prompt is read
-    /// for it: its run may have been put off and go on, and nothing else may be left of the stream.
-    pub async fn unless_silent<T>(
+    /// Waits for an engine. A stalled engine is abandoned only once another one has granted memory and the prompt is
+    /// prefilled for it: the stalled run may only be delayed, and until then the stream depends on it.
+    pub async fn unless_stalled<T>(
         &self,
         at: Key,
-        sent: u32,
+        attempts: u32,
         attempt: impl Future<Output = T>,
-    ) -> Result<T, Spare> {
-        let pause = Duration::from_millis(self.route.target_gap_ms);
-        let watch = Watch { node: &self.node, call: &self.call, at, pauses: (SILENT, pause) };
-        watch::unless_silent(watch, attempt, || self.room_elsewhere(at, sent)).await
+    ) -> Result<T, Failover> {
+        let gap = Duration::from_millis(self.route.target_gap_ms);
+        let watch = Watch { node: &self.node, call: &self.call, at, intervals: (STALL_GAPS, gap) };
+        stall::unless_stalled(watch, attempt, || self.prepare_failover(at, attempts)).await
     }
 
-    /// Memory at another engine than a silent one, the prompt and a repeat for it, if the stream may go on there.
-    async fn room_elsewhere(&self, silent: Key, sent: u32) -> Option<Spare> {
+    /// Prepares a failover away from a stalled engine: reserves memory, prefills the prompt and takes a retry from the
+    /// budget, if the stream may be resumed.
+    async fn prepare_failover(&self, stalled: Key, attempts: u32) -> Option<Failover> {
         let resumable = self.route.kind == Kind::Stream { resumable: true };
-        if !resumable || sent >= self.route.max_attempts {
+        if !resumable || attempts >= self.route.max_attempts {
             return None;
         }
         quarantine::check(&self.node, &self.call).ok()?;
-        let hold = self.reserve(self.resume_by(), Some(silent)).await.ok()?;
-        // Without an answer to that, nothing is sure at the other engine yet.
-        let handle = self.prefill_again().await.ok()?;
-        let engine = self.node.pool().get(hold.key).cloned()?;
-        if quarantine::refuses(engine.address).await {
+        let reservation = self.reserve(self.resume_by(), Some(stalled)).await.ok()?;
+        // Without the prompt the failover is not safe: the other engine may be gone before it has prefilled it.
+        let handle = self.refetch_prompt().await.ok()?;
+        let engine = self.node.pool().get(reservation.key).cloned()?;
+        if quarantine::refuses_connections(engine.address).await {
             return None;
         }
         if !self.node.take_repeat(&self.service) {
-            self.node.meter.retried(Retry::DeniedBudget);
+            self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
-        Some(Spare { hold, handle })
+        Some(Failover { reservation, handle })
     }
 
-    /// Until when memory is waited for to go on with a stream.
+    /// Latest time to wait for memory to resume a stream.
     fn resume_by(&self) -> Instant {
-        let patience = Duration::from_millis(admission::resume_wait(&self.caller));
-        self.call.deadline.instant().min(Instant::now() + patience)
+        let max_wait = Duration::from_millis(admission::resume_wait(&self.caller));
+        self.call.deadline.instant().min(Instant::now() + max_wait)
     }
 
-    /// Tries once more after an attempt that has no answer, where that is allowed.
-    async fn again(&mut self, failure: Failure) -> Result<Answer, Refusal> {
+    /// Retries at other engines after a failed attempt, while attempts and the retry budget allow.
+    async fn retry(&mut self, failure: Failure) -> Result<Answer, Refusal> {
         let kind = self.route.kind;
         if failure.may_have_run() && !kind.idempotent() {
-            return Err(given_up(failure));
+            return Err(final_refusal(failure));
         }
         let mut failure = failure;
-        while !failure.barred() && self.sent < self.route.max_attempts.max(1) {
-            let paid = self.sent == 0 || self.spare.is_some();
-            if !paid && !self.node.take_repeat(&self.service) {
-                self.node.meter.retried(Retry::DeniedBudget);
+        while !failure.quarantined() && self.attempts < self.route.max_attempts.max(1) {
+            let prepaid = self.attempts == 0 || self.failover.is_some();
+            if !prepaid && !self.node.take_repeat(&self.service) {
+                self.node.meter.count_retry(Retry::DeniedBudget);
                 break;
             }
-            self.node.meter.retried(failure.into());
-            match self.elsewhere(self.call.ask.last_event).await {
+            self.node.meter.count_retry(failure.into());
+            match self.retry_elsewhere(self.call.metadata.last_event).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
-                Err(Some(next)) if next.barred() && failure.may_have_run() => break,
+                Err(Some(next)) if next.quarantined() && failure.may_have_run() => break,
                 Err(Some(next)) if next.may_have_run() && !kind.idempotent() => {
-                    return Err(given_up(next));
+                    return Err(final_refusal(next));
                 }
-                // A later refusal does not make the request one that has not run.
+                // A later refusal does not undo that an earlier attempt may have run.
                 Err(Some(next)) if next.may_have_run() || !failure.may_have_run() => failure = next,
                 Err(Some(_)) => {}
             }
         }
-        Err(given_up(failure))
+        Err(final_refusal(failure))
     }
 
-    /// Runs the request at another engine, after an event.
-    pub async fn elsewhere(&mut self, last_event: Option<u64>) -> Result<Answer, Option<Failure>> {
+    /// Runs the request at another engine, from after the given event.
+    pub async fn retry_elsewhere(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<Answer, Option<Failure>> {
         quarantine::check(&self.node, &self.call).map_err(Some)?;
-        let Spare { mut hold, mut handle } = match self.spare.take() {
-            Some(spare) => spare,
+        let Failover { mut reservation, mut handle } = match self.failover.take() {
+            Some(failover) => failover,
             None => {
-                let hold = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
-                Spare { hold, handle: self.prefill_again().await.unwrap_or_default() }
+                let reservation = self.reserve(self.resume_by(), None).await.map_err(|_| None)?;
+                Failover { reservation, handle: self.refetch_prompt().await.unwrap_or_default() }
             }
         };
-        self.decode(&mut hold, handle.as_mut(), last_event).await.map_err(Some)
+        self.decode(&mut reservation, handle.as_mut(), last_event).await.map_err(Some)
     }
 
-    /// Fetches the prompt from the engine that read it, which usually keeps it: reading it again at
-    /// the next engine takes 0.2 s, and its streams pause meanwhile. Nothing where no engine may be asked.
-    async fn prefill_again(&self) -> Result<Option<Handle>, Failure> {
-        let keeper = self.read_at.filter(|it| self.node.pool().usable(*it));
-        let Some(keeper) = keeper.filter(|_| self.node.take_repeat(&self.service)) else {
+    /// Fetches the prompt's KV cache from the engine that prefilled it, which usually still has it: a new prefill at the
+    /// next engine takes 0.2 s and stalls its other streams. `None` if no engine may be asked.
+    async fn refetch_prompt(&self) -> Result<Option<Handle>, Failure> {
+        let cached_at = self.prefilled_at.filter(|key| self.node.pool().usable(*key));
+        let Some(cached_at) = cached_at.filter(|_| self.node.take_repeat(&self.service)) else {
             return Ok(None);
         };
-        let read = self.prefill(Some(keeper)).await;
-        read.map(|(_, handle)| Some(handle)).ok_or(Failure::Timeout)
+        let prefilled = self.prefill(Some(cached_at)).await;
+        prefilled.map(|(_, handle)| Some(handle)).ok_or(Failure::Timeout)
     }
 
-    /// Whether the next attempt has all that it needs.
-    pub fn has_spare(&self) -> bool {
-        self.spare.is_some()
+    /// Whether a next attempt is prepared.
+    pub fn has_failover(&self) -> bool {
+        self.failover.is_some()
     }
 
-    /// Keeps what the next attempt needs.
-    pub fn keep_spare(&mut self, spare: Spare) {
-        self.spare = Some(spare);
+    /// Stores a prepared next attempt.
+    pub fn set_failover(&mut self, failover: Failover) {
+        self.failover = Some(failover);
     }
 
     fn relay(self, answer: Answer) -> Response<Reply> {
@@ -386,14 +404,14 @@
     }
 }
 
-/// Refuses a request that has not run, with a time after which to come back.
-pub fn come_back(reason: Reason) -> Refusal {
-    let wait = rand::rng().random_range(COME_BACK_MILLIS);
-    Refusal::later(reason, Duration::from_millis(wait))
+/// Refuses a request that has not run, with a randomised Retry-After.
+pub fn retry_later(reason: Reason) -> Refusal {
+    let wait = rand::rng().random_range(RETRY_AFTER_MS);
+    Refusal::retry_after(reason, Duration::from_millis(wait))
 }
 
-/// Says when to come back if the request has not run.
-fn given_up(failure: Failure) -> Refusal {
+/// Refusal after the last attempt; with a Retry-After if the request has not run.
+fn final_refusal(failure: Failure) -> Refusal {
     let reason = Reason::from(failure);
-    if failure.may_have_run() { reason.into() } else { come_back(reason) }
+    if failure.may_have_run() { reason.into() } else { retry_later(reason) }
 }
