--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,8 +1,9 @@
-//! Endpoints, read from their records in the store.
+//! Decodes the records of endpoints in the store.
 //!
-//! A record is decoded once, when it changes: a site of hundreds of endpoints changes some of them
-//! many times a second while it starts or is released, and each change would else decode all. What
-//! can't be read is told of once, and takes the endpoint under that key out of use; all others stay.
+//! A record is decoded once, when it changes: in a site of hundreds of endpoints, some records
+//! change many times a second while it starts or is released, and each change would otherwise
+//! decode all. An invalid record is reported once and takes the endpoint of that key out of use;
+//! the other endpoints stay.
 
 use bytes::Bytes;
 use crosslane_platform::discovery;
@@ -10,45 +11,47 @@
 use derive_more::{Display, Error, From};
 use std::collections::HashMap;
 
-/// Why a record is not used.
+/// Reason why a record is not used.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// It names no endpoint.
+    /// The record can't be decoded.
     #[display("{_0}")]
     Unreadable(discovery::Error),
-    /// Its endpoint started again since; the record came late.
-    #[display("record of endpoint {id} born at {born}, which was born again at {newest}")]
+    /// The endpoint has restarted since; the record arrived late.
+    #[display(
+        "record of endpoint {id} started at {born} is stale: the endpoint restarted at {newest}"
+    )]
     Former {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
-        /// Birth that the record tells.
+        /// Start time in the record.
         born: u64,
-        /// Latest birth under the id.
+        /// Latest start time under the id.
         newest: u64,
     },
 }
 
-/// One record and what it says.
+/// A record and the endpoint decoded from it.
 #[derive(Debug, Default)]
-struct Known {
+struct Cached {
     bytes: Bytes,
-    /// Nothing if it can't be read.
+    /// The endpoint, unless the record can't be decoded.
     endpoint: Option<Endpoint>,
-    /// Latest birth under the id.
-    newest: u64,
+    /// Latest start time under the id.
+    latest_born: u64,
 }
 
-impl Known {
-    /// Takes a changed record. One of a former incarnation changes nothing.
-    fn take(&mut self, id: &str, bytes: &Bytes) -> Result<(), Error> {
+impl Cached {
+    /// Decodes a changed record. A record of an earlier incarnation changes nothing.
+    fn update(&mut self, id: &str, bytes: &Bytes) -> Result<(), Error> {
         self.bytes = bytes.clone();
         match discovery::decode(id, bytes) {
-            Ok(endpoint) if endpoint.born < self.newest => {
-                let (id, born, newest) = (id.to_owned(), endpoint.born, self.newest);
+            Ok(endpoint) if endpoint.born < self.latest_born => {
+                let (id, born, newest) = (id.to_owned(), endpoint.born, self.latest_born);
                 Err(Error::Former { id, born, newest })
             }
             Ok(endpoint) => {
-                self.newest = endpoint.born;
+                self.latest_born = endpoint.born;
                 self.endpoint = Some(endpoint);
                 Ok(())
             }
@@ -62,29 +65,30 @@
 
 /// Endpoints by id.
 #[derive(Debug, Default)]
-pub struct Directory(HashMap<String, Known>);
+pub struct Directory(HashMap<String, Cached>);
 
 impl Directory {
-    /// Takes the newest records of all ids. Returns why those are not used that changed and can't be.
+    /// Updates the directory to the newest records of all ids. Returns the reasons why changed
+    /// records are not used.
     pub fn take<'a>(
         &mut self,
         records: impl Iterator<Item = (&'a String, &'a Bytes)>,
     ) -> Vec<Error> {
-        let mut before = std::mem::take(&mut self.0);
+        let mut previous = std::mem::take(&mut self.0);
         let mut errors = Vec::new();
         for (id, bytes) in records {
-            let known = before.remove_entry(id);
-            let (id, mut known) = known.unwrap_or_else(|| (id.clone(), Known::default()));
-            if known.bytes != bytes {
-                errors.extend(known.take(&id, bytes).err());
+            let entry = previous.remove_entry(id);
+            let (id, mut cached) = entry.unwrap_or_else(|| (id.clone(), Cached::default()));
+            if cached.bytes != bytes {
+                errors.extend(cached.update(&id, bytes).err());
             }
-            self.0.insert(id, known);
+            self.0.insert(id, cached);
         }
         errors
     }
 
-    /// Endpoints whose records can be read.
+    /// Endpoints whose records are valid.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.0.values().filter_map(|it| it.endpoint.as_ref())
+        self.0.values().filter_map(|cached| cached.endpoint.as_ref())
     }
 }
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: one node at a time, under a lease in the store.
+//! Orders to engines to change their stage. One node at a time gives them, under a lease in the
+//! store.
 
 use crate::event;
 use crate::node::{Node, lock};
@@ -14,27 +15,27 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Topic of the lease.
+/// Topic of the lease in the store.
 const TOPIC: &str = "keyed.duty";
 
 /// Key of the lease.
 const KEY: &str = "orders";
 
-/// Time between looks at the engines' stages.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval of the checks of the engines' stages.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after the start in which nodes find each other, so that one alone asks for the lease.
-const SETTLE: Duration = Duration::from_millis(900);
+/// Pause after the start, in which nodes find each other, so that only one asks for the lease.
+const DISCOVERY_TIME: Duration = Duration::from_millis(900);
 
-/// Time for an order's answer.
-const ANSWER: Duration = Duration::from_millis(800);
+/// Timeout of an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Plans by service.
 type Plans = HashMap<String, Plan>;
 
-/// Gives orders when it is this node's turn, for good.
+/// Gives orders while this node is responsible for them, forever.
 pub async fn run(node: Arc<Node>) {
-    sleep(SETTLE).await;
+    sleep(DISCOVERY_TIME).await;
     let mut client = Client::new(node.settings.store);
     let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease);
     let mut plans = HashMap::new();
@@ -42,22 +43,22 @@
         let steady = node.stopping.borrow().is_none();
         let first = lock(&node.members).first(node.now());
         if steady && first {
-            round(&node, &mut client, &mut lease, &mut plans).await;
+            give_orders(&node, &mut client, &mut lease, &mut plans).await;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// What the record of the lease says.
+/// Record of the lease.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Turn {
-    /// Holder.
+struct LeaseRecord {
+    /// Holder of the lease.
     holder: String,
-    /// Orders of this turn, so that the next holder does not give them again.
+    /// Orders given under this lease, so that the next holder does not repeat them.
     orders: Vec<(Tag, Stage)>,
 }
 
-async fn round(node: &Arc<Node>, client: &mut Client, lease: &mut Lease, plans: &mut Plans) {
+async fn give_orders(node: &Arc<Node>, client: &mut Client, lease: &mut Lease, plans: &mut Plans) {
     if changes(node, plans).is_empty() {
         return;
     }
@@ -68,28 +69,30 @@
             for (service, change) in changes {
                 if node.now().since(began) < ORDER_WINDOW {
                     plans.entry(service).or_default().sent(change, node.now());
-                    tokio::spawn(order(node.clone(), change, fence));
+                    tokio::spawn(send_order(node.clone(), change, fence));
                 }
             }
         }
         Ok(None) => {}
         Err(error) => {
             lease.reset();
-            debug!("lease on orders: {error}");
+            debug!("taking the lease on orders failed: {error}");
         }
     }
 }
 
-/// Changes wanted among the engines of the configuration's services; records may name others.
+/// Stage changes that are needed among the engines of configured services. Records of endpoints may
+/// name other services.
 fn changes(node: &Node, plans: &mut Plans) -> Vec<(String, Change)> {
     let Some(table) = node.table() else {
         return Vec::new();
     };
-    let generates = |it: &str| table.services.get(it).is_some_and(|it| it.engine.is_some());
+    let has_engines =
+        |name: &str| table.services.get(name).is_some_and(|service| service.engine.is_some());
     let now = node.now();
     let pool = node.pool();
     let mut wanted = Vec::new();
-    for (service, engines) in pool.engines().into_iter().filter(|it| generates(it.0)) {
+    for (service, engines) in pool.engines().into_iter().filter(|entry| has_engines(entry.0)) {
         let plan = plans.entry(service.to_owned()).or_default();
         let changes = plan.changes(&engines, now).into_iter();
         wanted.extend(changes.map(|change| (service.to_owned(), change)));
@@ -97,16 +100,17 @@
     wanted
 }
 
-/// Counts the orders of an earlier turn as sent, unless they were carried out already.
-fn absorb(node: &Node, plans: &mut Plans, turn: &Turn) {
+/// Adds the orders of an earlier holder to the plans, except for those that are carried out
+/// already.
+fn add_earlier_orders(node: &Node, plans: &mut Plans, record: &LeaseRecord) {
     let now = node.now();
     let pool = node.pool();
     for (service, engines) in pool.engines() {
         let plan = plans.entry(service.to_owned()).or_default();
         for (key, engine) in engines {
             let tag = engine.tag();
-            let order = turn.orders.iter().find(|it| it.0 == tag);
-            if let Some((_, stage)) = order.filter(|it| it.1 != engine.stage) {
+            let order = record.orders.iter().find(|order| order.0 == tag);
+            if let Some((_, stage)) = order.filter(|order| order.1 != engine.stage) {
                 plan.told(Change { key, stage: *stage }, now);
             }
         }
@@ -121,51 +125,56 @@
     plans: &mut Plans,
 ) -> Result<Option<(u64, Vec<(String, Change)>)>, Error> {
     let page = client.newest(TOPIC).await?;
-    let record = page.records.iter().rfind(|it| it.key == KEY).and_then(|it| it.value.as_deref());
-    let turn = record.map(read_turn);
-    if let Some(turn) = &turn {
-        absorb(node, plans, turn);
+    let value = page
+        .records
+        .iter()
+        .rfind(|record| record.key == KEY)
+        .and_then(|record| record.value.as_deref());
+    let record = value.map(decode_record);
+    if let Some(record) = &record {
+        add_earlier_orders(node, plans, record);
     }
     let changes = changes(node, plans);
     if changes.is_empty() {
         return Ok(None);
     }
-    let held = Held { holder: turn.map(|it| it.holder), end: page.end };
+    let held = Held { holder: record.map(|record| record.holder), end: page.end };
     let Step::Append { end } = lease.step(&held, node.now()) else {
         return Ok(None);
     };
     let orders = orders(node, &changes);
-    let turn = Turn { holder: node.settings.vm.clone(), orders };
-    let value = bincode::serialize(&turn).unwrap_or_default();
-    // Tokens start from one, since zero may mean none.
+    let record = LeaseRecord { holder: node.settings.vm.clone(), orders };
+    let value = bincode::serialize(&record).unwrap_or_default();
+    // Tokens start at one: zero may stand for no token.
     let offset = client.append(TOPIC, KEY, &value, Some(end)).await?;
     Ok(Some((offset + 1, changes)))
 }
 
-/// A turn's record. One that can't be read, of another version, counts as the turn of somebody else, who may
-/// be giving orders.
-fn read_turn(bytes: &[u8]) -> Turn {
+/// Decodes the record of the lease. A record of another version, which can't be decoded, counts as
+/// held by another node, which may be giving orders.
+fn decode_record(bytes: &[u8]) -> LeaseRecord {
     bincode::deserialize(bytes).unwrap_or_else(|error| {
         warn!(why:% = error; "{}", event::SKIPPED);
-        Turn::default()
+        LeaseRecord::default()
     })
 }
 
 fn orders(node: &Node, changes: &[(String, Change)]) -> Vec<(Tag, Stage)> {
     let pool = node.pool();
-    let rows = changes.iter().filter_map(|(_, it)| Some((pool.get(it.key)?, it.stage)));
-    rows.map(|(engine, stage)| (engine.tag(), stage)).collect()
+    let stages =
+        changes.iter().filter_map(|(_, change)| Some((pool.get(change.key)?, change.stage)));
+    stages.map(|(engine, stage)| (engine.tag(), stage)).collect()
 }
 
-async fn order(node: Arc<Node>, change: Change, fence: u64) {
+async fn send_order(node: Arc<Node>, change: Change, fence: u64) {
     let Some(endpoint) = node.pool().get(change.key).cloned() else {
         return;
     };
     let request = engine::order(&endpoint, change.stage, &node.settings.vm, fence);
-    let answer = node.control.call(endpoint.address, request, ANSWER).await;
+    let answer = node.control.call(endpoint.address, request, ORDER_TIMEOUT).await;
     let id = endpoint.id;
     let stage = format!("{:?}", change.stage);
-    let outcome = answer.map(|it| engine::ordered(it.status));
+    let outcome = answer.map(|answer| engine::ordered(answer.status));
     if matches!(outcome, Ok(Order::Taken)) {
         node.pool().ordered(change.key, change.stage, node.now());
         node.changed.notify_one();
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -8,62 +8,64 @@
 pub const SUSPENDED: &str = "suspended";
 /// The settings changed.
 pub const RELOAD: &str = "reload";
-/// A configuration came in force.
+/// A configuration was put in force.
 pub const CONFIGURATION: &str = "configuration";
 /// The list of endpoints changed.
 pub const ENDPOINTS: &str = "endpoints";
-/// The store, or another dependency, can't be reached.
+/// The store or another dependency is unreachable.
 pub const LOST: &str = "lost";
-/// A dependency answers again.
+/// A dependency is reachable again.
 pub const REGAINED: &str = "regained";
-/// A view was taken from another node.
+/// Data of the store was pulled from another node.
 pub const PULLED: &str = "pulled";
-/// A view could not be taken from another node.
+/// A pull from another node failed.
 pub const PULL_FAILED: &str = "pull_failed";
-/// An order was given to an engine.
+/// An engine was ordered to change its stage.
 pub const ORDER: &str = "order";
-/// The lease on orders was taken or refused.
+/// The lease on orders to engines was taken.
 pub const LEASE: &str = "lease";
-/// Memory was reserved at an engine, or was not to be had.
+/// KV cache memory was reserved at an engine, or none was available.
 pub const RESERVE: &str = "reserve";
-/// Engines were asked for a prompt that a caller brings back.
+/// Engines were asked for the cached prefix of a prompt that a caller sends again.
 pub const CACHED: &str = "cached";
-/// An endpoint was chosen for a request, which is sent there.
+/// An endpoint was chosen for a request.
 pub const PLACE: &str = "place";
 /// An attempt at an endpoint failed.
 pub const ATTEMPT: &str = "attempt";
-/// An endpoint sent nothing for a while within an attempt.
+/// An endpoint sent nothing for a while during an attempt.
 pub const SILENT: &str = "silent";
-/// An endpoint broke off what it was sent, which a request that makes endpoints crash does again and again.
+/// An endpoint broke off an answer or a connection, which happens again and again with a poison
+/// request.
 pub const BROKE: &str = "broke";
-/// An endpoint ended right after it had begun to run a request, which is held against the request.
+/// An endpoint crashed right after it had begun to run a request, which counts as a strike against
+/// the request.
 pub const STRUCK: &str = "struck";
-/// An endpoint ended so, and it is not held against the request.
+/// An endpoint crashed that way, but no strike was counted.
 pub const SPARED: &str = "spared";
-/// What was held against a request is forgotten.
+/// The strikes against a request were dropped.
 pub const FORGOTTEN: &str = "forgotten";
-/// A request was shut out, or let in again.
+/// A poison request was quarantined, or allowed again.
 pub const RULED: &str = "ruled";
 /// A ruling could not be written to the store yet.
 pub const UNSAVED: &str = "unsaved";
-/// A request was not sent, since endpoints ended under it.
+/// A request was not sent because endpoints crashed under it.
 pub const BARRED: &str = "barred";
-/// A request was refused since its organisation is over its limit.
+/// A request was rejected because its organisation is over its limit.
 pub const OVER_QUOTA: &str = "over_quota";
-/// An endpoint names a limit for all nodes together, another one, or none any more.
+/// An endpoint announced, changed or withdrew a rate limit that all nodes share.
 pub const LIMIT: &str = "limit";
-/// A request was kept from an endpoint whose limit has no room.
+/// A request was not sent to an endpoint because its rate limit is used up.
 pub const HELD_BACK: &str = "held_back";
-/// A run was moved away from a leaving engine, or was not.
+/// A run was moved away from a leaving engine, or could not be.
 pub const MOVE: &str = "move";
 /// A request ended.
 pub const REQUEST: &str = "request";
-/// Something that can't be decoded was left out.
+/// Data that can't be decoded was skipped.
 pub const SKIPPED: &str = "skipped";
 /// Log lines were dropped.
 pub const DROPPED: &str = "dropped";
 
-/// Every event.
+/// All events.
 pub const EVENTS: [&str; 31] = [
     START,
     STOP,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,14 +1,14 @@
-//! Server-sent events, cut where one ends, so that none is passed on in part.
+//! Splits a stream of server-sent events after complete events, so that none is forwarded in part.
 
 use bytes::{Bytes, BytesMut};
 
-/// Ends an event.
-const END: &[u8] = b"\n\n";
+/// Terminator of an event.
+const TERMINATOR: &[u8] = b"\n\n";
 
-/// Longest event that is kept until its end, in bytes; the sites' events have some 500.
-const LONGEST: usize = 1 << 20;
+/// Maximum number of bytes held back for an incomplete event; the events of a site have some 500.
+const MAX_PENDING_BYTES: usize = 1 << 20;
 
-/// Bytes of a stream that are not passed on yet.
+/// Buffer for the bytes of a stream that are not forwarded yet.
 #[derive(Debug, Default)]
 pub struct Events {
     pending: BytesMut,
@@ -16,38 +16,38 @@
 }
 
 impl Events {
-    /// Adds bytes and takes all events that are whole.
+    /// Adds bytes and takes all complete events.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
-        let end = self.pending.windows(END.len()).rposition(|it| it == END);
+        let end = self.pending.windows(TERMINATOR.len()).rposition(|bytes| bytes == TERMINATOR);
         let end = match end {
-            Some(at) => at + END.len(),
-            None if self.pending.len() > LONGEST => self.pending.len(),
+            Some(at) => at + TERMINATOR.len(),
+            None if self.pending.len() > MAX_PENDING_BYTES => self.pending.len(),
             None => return None,
         };
-        let whole = self.pending.split_to(end).freeze();
-        self.last_id = last_id(&whole).or(self.last_id);
-        Some(whole)
+        let complete = self.pending.split_to(end).freeze();
+        self.last_id = last_id(&complete).or(self.last_id);
+        Some(complete)
     }
 
-    /// Whether bytes of an event that is not whole are left.
+    /// Whether an incomplete event is left.
     pub fn partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops what is left of an event that broke off.
+    /// Drops an incomplete event after the stream broke off.
     pub fn discard(&mut self) {
         self.pending.clear();
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 }
 
 fn last_id(events: &[u8]) -> Option<u64> {
-    let lines = events.rsplit(|it| *it == b'\n');
-    let mut ids = lines.filter_map(|it| it.strip_prefix(b"id:"));
+    let lines = events.rsplit(|byte| *byte == b'\n');
+    let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
     std::str::from_utf8(ids.next()?).ok()?.trim().parse().ok()
 }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -1,7 +1,7 @@
-//! Follows the store's topics by waiting reads.
+//! Follows the topics of the store by long polling.
 //!
-//! Each call is priced, so only some nodes of a failure domain read; the others are told by them, and
-//! read only what does not come that way.
+//! Each call to the store has a price, so only some nodes of a failure domain read it. The others
+//! pull from them, and read only what does not arrive that way.
 
 use crate::event;
 use crate::mirror::Topic;
@@ -13,106 +13,113 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time that a read waits for a record. Each call is priced; one that waits longer would notice a
-/// store that came back, but lost the waiting read, too late for a new configuration.
-const WAIT: Duration = Duration::from_millis(2_000);
+/// Time that the store holds a read until there is a new record. Each call has a price; but if the
+/// store restarts and loses the read, a longer one would delay a new configuration too much.
+const LONG_POLL: Duration = Duration::from_millis(2_000);
 
-/// Time between looks at whether this node is to read.
-const IDLE: Duration = Duration::from_millis(100);
+/// Interval of the checks whether this node must read.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in milliseconds after which what other nodes told of, and did not bring, is read from the store:
-/// three times what it takes them at 61 nodes (0.2 to 0.3 s), a third of the time in which it must be known.
-const OVERDUE: u64 = 1_000;
+/// Time after which data that other nodes announced, and that was not pulled from them, is read
+/// from the store, in milliseconds: three times what a transfer takes among 61 nodes (0.2 to 0.3
+/// s), a third of the time in which every node must have it.
+const OVERDUE_MS: u64 = 1_000;
 
-/// Time after the first read in which nodes hear of each other, so that only those go on that are
-/// to read. What changes meanwhile is told by others, or read after it.
-const SETTLE: Duration = Duration::from_millis(600);
+/// Pause after the first read, in which heartbeats arrive, so that only the readers continue.
+/// Changes in it come from other nodes, or with the next read.
+const DISCOVERY_TIME: Duration = Duration::from_millis(600);
 
-/// Pause after a read that brought endpoints' records: they change some hundred times while a site
-/// starts or is released, and each call is priced. Small against the 2 s in which a leaving
-/// endpoint must be known everywhere.
-const BATCH: Duration = Duration::from_millis(150);
+/// Pause after a read that returned records of endpoints: there are some hundred changes while a
+/// site starts or is released, and each call has a price. Short compared to the 2 s in which every
+/// node must know that an endpoint leaves.
+const BATCH_PAUSE: Duration = Duration::from_millis(150);
 
-/// Pause after a failed call: refused calls are priced too.
-const PAUSE: Duration = Duration::from_millis(350);
+/// Pause after a failed call, since rejected calls have a price too.
+const RETRY_PAUSE: Duration = Duration::from_millis(350);
 
-/// How often this pause doubles at nodes that others read for: 2.8 s, in which the others tell of what is new.
-const DOUBLED: u32 = 3;
+/// How often this pause doubles at nodes that are not readers: up to 2.8 s, in which the readers
+/// announce what is new.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// The same while a topic was never read: the node serves nobody until then, so it is asked each 0.7 s.
-const START_DOUBLED: u32 = 1;
+/// The same while a topic was never read. The node can't serve callers until then, so it retries
+/// every 0.7 s.
+const STARTUP_MAX_DOUBLINGS: u32 = 1;
 
-/// Pause after the first failure, which is often a single dead connection.
-const FIRST_PAUSE: Duration = Duration::from_millis(40);
+/// Pause after the first failure, which often is a single broken connection.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Pause after further failures while a topic was never read: without it nothing can be served.
-const START_PAUSE: Duration = Duration::from_millis(80);
+/// Pause after further failures while a topic was never read, without which the node can't serve
+/// callers.
+const STARTUP_RETRY_PAUSE: Duration = Duration::from_millis(80);
 
-/// Failures up to which that pause is kept: a store that is out for long is not to be pressed.
-const START_TRIES: u32 = 6;
+/// Number of failures up to which this pause applies, to spare a store that is out for long.
+const STARTUP_FAILURES: u32 = 6;
 
-/// Why a node reads.
+/// Reason for a read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// It is one of its failure domain's readers.
+    /// This node is one of the readers of its failure domain.
     Reader,
-    /// It knows nothing of the topic, and was not told that there is nothing.
+    /// This node has nothing of the topic, and the store has not answered that the topic is empty.
     Nothing,
-    /// What others told of did not come from them.
+    /// Other nodes announced data that has not been pulled from them.
     Overdue,
 }
 
-/// Pause after a failed call that was preceded by so many.
+/// Pause after a failed call, by the number of consecutive failures before it.
 pub fn pause(failures: u32, need: Need) -> Duration {
     match (failures, need) {
-        (0, _) => FIRST_PAUSE,
-        (failures, Need::Nothing) if failures < START_TRIES => START_PAUSE,
-        (_, Need::Reader) => PAUSE,
-        (failures, Need::Nothing) => PAUSE * (1 << (failures - START_TRIES).min(START_DOUBLED)),
-        (failures, Need::Overdue) => PAUSE * (1 << (failures - 1).min(DOUBLED)),
+        (0, _) => FIRST_RETRY_PAUSE,
+        (failures, Need::Nothing) if failures < STARTUP_FAILURES => STARTUP_RETRY_PAUSE,
+        (_, Need::Reader) => RETRY_PAUSE,
+        (failures, Need::Nothing) => {
+            RETRY_PAUSE * (1 << (failures - STARTUP_FAILURES).min(STARTUP_MAX_DOUBLINGS))
+        }
+        (failures, Need::Overdue) => RETRY_PAUSE * (1 << (failures - 1).min(MAX_DOUBLINGS)),
     }
 }
 
-/// What others told of that this node does not know yet.
+/// Tracks data that other nodes announced and this node lacks.
 ///
-/// Load pattern: while hundreds of endpoints start, others always know something newer. Only what was
-/// told a second ago is overdue; to take every moment at which something was lacking as one made 270
-/// nodes of 295 read the store too, 3,300 calls in 3 s.
+/// Load pattern: while hundreds of endpoints start, other nodes always have something newer. Only
+/// data that was announced a second ago is overdue. If every moment in which something is lacking
+/// counted, 270 of 295 nodes would read the store too, with 3,300 calls in 3 s.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
-    /// Offset that was told of.
-    told: u64,
+    /// Announced offset that this node waits for.
+    awaited: u64,
     since: Millis,
 }
 
 impl Lag {
-    /// Whether an offset that was told of long ago is still beyond what is known.
-    pub fn overdue(&mut self, told: u64, known: u64, now: Millis) -> bool {
-        if known >= self.told {
-            *self = Self { told, since: now };
+    /// Whether an offset that was announced long enough ago has not been reached.
+    pub fn overdue(&mut self, announced: u64, known: u64, now: Millis) -> bool {
+        if known >= self.awaited {
+            *self = Self { awaited: announced, since: now };
         }
-        known < self.told && now.since(self.since) >= OVERDUE
+        known < self.awaited && now.since(self.since) >= OVERDUE_MS
     }
 }
 
-/// How a node follows one topic.
+/// State of following one topic.
 #[derive(Debug, Default)]
 struct Follower {
-    /// Whether the store ever answered, be it that there is nothing.
+    /// Whether the store ever answered, even if the topic was empty.
     answered: bool,
-    /// Whether the records after those known are gone, so that all must be read.
-    gone: bool,
-    /// Failed calls in a row.
+    /// Whether the store has dropped the records after the last known one, so that everything must
+    /// be read.
+    records_dropped: bool,
+    /// Consecutive failed calls.
     failures: u32,
     lag: Lag,
 }
 
 impl Follower {
-    /// Why the topic is to be read now, if so.
+    /// Reason to read the topic now, if there is one.
     fn need(&mut self, node: &Node, topic: Topic) -> Option<Need> {
         let now = node.now();
-        let (told, known) = (node.told.borrow().of(topic), node.mirror().ends().of(topic));
-        let overdue = self.lag.overdue(told, known, now);
+        let (announced, known) = (node.told.borrow().of(topic), node.mirror().ends().of(topic));
+        let overdue = self.lag.overdue(announced, known, now);
         if !self.answered && node.mirror().end(topic) == 0 {
             return Some(Need::Nothing);
         }
@@ -122,38 +129,38 @@
         overdue.then_some(Need::Overdue)
     }
 
-    /// Reads once: everything at first, then what is new.
+    /// Reads once: everything at first, then new records.
     async fn step(&mut self, node: &Node, client: &mut Client, topic: Topic) -> Result<(), Error> {
         let known = node.mirror().end(topic);
-        let from = (known > 0 && !self.gone).then_some(known);
+        let from = (known > 0 && !self.records_dropped).then_some(known);
         let page = match from {
             None => client.newest(topic.name()).await?,
-            Some(from) => client.read(topic.name(), from, WAIT).await?,
+            Some(from) => client.read(topic.name(), from, LONG_POLL).await?,
         };
         node.store_answered(self.failures > 0);
-        self.gone = false;
+        self.records_dropped = false;
         let first = !std::mem::replace(&mut self.answered, true);
         let empty = page.end == 0;
         let change = node.mirror().take(topic, page, from);
         node.apply(change, STORE);
         if first {
-            sleep(SETTLE).await;
+            sleep(DISCOVERY_TIME).await;
         } else if empty {
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         } else if change.endpoints {
-            sleep(BATCH).await;
+            sleep(BATCH_PAUSE).await;
         }
         Ok(())
     }
 }
 
-/// Follows one topic for good.
+/// Follows one topic forever.
 pub async fn follow(node: Arc<Node>, topic: Topic) {
     let mut client = Client::new(node.settings.store);
     let mut follower = Follower::default();
     loop {
         let Some(need) = follower.need(&node, topic) else {
-            sleep(IDLE).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         };
         match follower.step(&node, &mut client, topic).await {
@@ -163,7 +170,7 @@
                     info!(topic = topic.name(), failures; "{}", event::REGAINED);
                 }
             }
-            Err(Error::Gone) => follower.gone = true,
+            Err(Error::Gone) => follower.records_dropped = true,
             Err(error) => {
                 node.store_failed(topic);
                 if follower.failures == 0 {
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -1,10 +1,10 @@
-//! The configuration with its last changes, told to other nodes in pieces.
+//! The configuration and its latest changes, which are sent to other nodes in chunks.
 //!
-//! A version is known by the offset after its record in the store's log, which is the same at every
-//! node. What leads from one version to the next is made once, by the nodes that read the store, and
-//! passed on as it is. A node that is too far behind gets a whole version, which stays the same while
-//! newer ones come, and then the steps from there on: so a transfer ends however often the
-//! configuration changes meanwhile.
+//! A version is identified by the offset after its record in the log of the store, which is the
+//! same at every node. The patch from one version to the next is created once, by the nodes that
+//! read the store, and forwarded as it is. A node that is too far behind gets a full version, which
+//! stays the same while newer ones arrive, and then the patches after it. So a transfer completes
+//! however often the configuration changes meanwhile.
 
 use crate::event;
 use crate::patch;
@@ -14,88 +14,89 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Steps kept for nodes that are behind: a minute at 53,000 changes a day.
-const STEPS: usize = 40;
+/// Patches kept for nodes that are behind: those of a minute at 53,000 changes a day.
+const MAX_PATCHES: usize = 40;
 
-/// Bytes of all steps kept: small against the 88 MB of the smallest VMs.
-const STEP_BYTES: usize = 1 << 20;
+/// Maximum size of all kept patches, in bytes: small compared to the 88 MB of the smallest VMs.
+const MAX_PATCHES_BYTES: usize = 1 << 20;
 
-/// Longest piece, in bytes: 26 ms of a link of 10 Mbit/s, so that what else is to be sent waits no longer.
+/// Size of the longest chunk, in bytes: it blocks a 10 Mbit/s link for 26 ms.
 pub const PIECE: usize = 32_768;
 
-/// From one version to a later one; from offset 0, which nothing has, the whole version.
+/// Versions between which a patch leads. Base 0 stands for the empty text, so that the patch holds
+/// the full version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
-    /// Offset after the earlier version's record.
+    /// Offset after the record of the earlier version.
     pub base: u64,
-    /// Offset after the later version's record.
+    /// Offset after the record of the later version.
     pub target: u64,
 }
 
-/// What leads from one version to a later one.
+/// Patch from one version to a later one.
 #[derive(Clone, Debug)]
 pub struct Step {
     span: Span,
-    patch: Bytes,
+    data: Bytes,
 }
 
-/// What a node lacks and already has of it.
+/// Request for the next chunk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wanted {
-    /// Offset after the record of the version it holds; 0 if none.
+    /// Offset after the record of the version that the requester has; 0 if none.
     pub held: u64,
-    /// The step of which it has a part.
+    /// Versions of the patch whose download has begun.
     pub span: Span,
-    /// Bytes that it has of that step.
+    /// Bytes of that patch received so far.
     pub at: u64,
 }
 
-/// Bytes of a step.
+/// Chunk of a patch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Piece {
     span: Span,
-    /// Bytes of the whole step.
+    /// Size of the whole patch, in bytes.
     length: u64,
-    /// Place of these bytes.
+    /// Position of the chunk in the patch, in bytes.
     at: u64,
     bytes: Vec<u8>,
 }
 
 impl Piece {
-    /// Bytes in it.
+    /// Size of the chunk, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it brings nothing.
+    /// Whether it is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 }
 
-/// The newest configuration and what led to it.
+/// The newest version of the configuration, and the patches that lead to it.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Offset after the newest version's record; 0 if there is none.
+    /// Offset after the record of the newest version; 0 if there is none.
     end: u64,
     text: Bytes,
-    steps: VecDeque<Step>,
-    /// A whole version, from which the steps lead to the newest one.
-    whole: Option<Step>,
+    patches: VecDeque<Step>,
+    /// Patch that holds a full version, from which the other patches lead to the newest one.
+    full: Option<Step>,
 }
 
 impl History {
-    /// Offset after the record of the version held; 0 if there is none.
+    /// Offset after the record of the newest version; 0 if there is none.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// The configuration.
+    /// Text of the newest version.
     pub fn text(&self) -> Option<&Bytes> {
         (self.end > 0).then_some(&self.text)
     }
 
-    /// Takes a version as it was read; false if it is not newer.
+    /// Adds a version that was read from the store; returns false if it is not newer.
     pub fn put(&mut self, end: u64, text: Bytes) -> bool {
         if end <= self.end {
             return false;
@@ -107,122 +108,125 @@
             return true;
         }
         match patch::make(&base, &self.text) {
-            Ok(patch) => self.keep(Step { span, patch }),
+            Ok(data) => self.retain(Step { span, data }),
             Err(error) => {
-                // Others get the whole version instead.
+                // Other nodes get the full version instead.
                 warn!(why:% = error; "{}", event::SKIPPED);
-                self.forget();
+                self.clear();
             }
         }
         true
     }
 
-    /// Takes a step from another node; false if it does not lead on from what is held.
-    pub fn take(&mut self, step: Step) -> io::Result<bool> {
-        let Span { base, target } = step.span;
+    /// Applies a patch from another node; returns false if its base is not the newest version here.
+    pub fn take(&mut self, patch: Step) -> io::Result<bool> {
+        let Span { base, target } = patch.span;
         if target <= self.end || (base > 0 && base != self.end) {
             return Ok(false);
         }
         let from = if base > 0 { self.text.clone() } else { Bytes::new() };
-        self.text = patch::apply(&from, &step.patch)?;
+        self.text = patch::apply(&from, &patch.data)?;
         self.end = target;
         if base > 0 {
-            self.keep(step);
+            self.retain(patch);
         } else {
-            self.forget();
-            self.whole = Some(step);
+            self.clear();
+            self.full = Some(patch);
         }
         Ok(true)
     }
 
-    /// The next piece for another node, if this one knows something newer.
+    /// The next chunk for another node, if this one has a newer version.
     pub fn piece(&mut self, wanted: Wanted) -> io::Result<Option<Piece>> {
-        let Some(step) = self.next(wanted.held)? else {
+        let Some(patch) = self.next_patch(wanted.held)? else {
             return Ok(None);
         };
-        let length = step.patch.len();
-        let begun = wanted.span == step.span && wanted.at <= length as u64;
-        let at = if begun { wanted.at as usize } else { 0 };
-        let bytes = step.patch[at..length.min(at + PIECE)].to_vec();
-        Ok(Some(Piece { span: step.span, length: length as u64, at: at as u64, bytes }))
+        let length = patch.data.len();
+        let continues = wanted.span == patch.span && wanted.at <= length as u64;
+        let at = if continues { wanted.at as usize } else { 0 };
+        let bytes = patch.data[at..length.min(at + PIECE)].to_vec();
+        Ok(Some(Piece { span: patch.span, length: length as u64, at: at as u64, bytes }))
     }
 
-    /// What leads on from a version, or the whole of one if that one is not known any more.
-    fn next(&mut self, held: u64) -> io::Result<Option<Step>> {
+    /// The patch that leads on from a version, or a full version if there is no such patch.
+    fn next_patch(&mut self, held: u64) -> io::Result<Option<Step>> {
         if held >= self.end {
             return Ok(None);
         }
-        if let Some(step) = self.steps.iter().find(|it| it.span.base == held) {
-            return Ok(Some(step.clone()));
+        if let Some(patch) = self.patches.iter().find(|patch| patch.span.base == held) {
+            return Ok(Some(patch.clone()));
         }
-        if self.whole.as_ref().is_none_or(|it| it.span.target <= held) {
+        if self.full.as_ref().is_none_or(|full| full.span.target <= held) {
             let span = Span { base: 0, target: self.end };
-            self.whole = Some(Step { span, patch: patch::make(&[], &self.text)? });
+            self.full = Some(Step { span, data: patch::make(&[], &self.text)? });
         }
-        Ok(self.whole.clone())
+        Ok(self.full.clone())
     }
 
-    fn keep(&mut self, step: Step) {
-        self.steps.push_back(step);
-        let bytes = |steps: &VecDeque<Step>| steps.iter().map(|it| it.patch.len()).sum::<usize>();
-        while self.steps.len() > STEPS || bytes(&self.steps) > STEP_BYTES {
-            self.steps.pop_front();
+    fn retain(&mut self, patch: Step) {
+        self.patches.push_back(patch);
+        let bytes =
+            |patches: &VecDeque<Step>| patches.iter().map(|patch| patch.data.len()).sum::<usize>();
+        while self.patches.len() > MAX_PATCHES || bytes(&self.patches) > MAX_PATCHES_BYTES {
+            self.patches.pop_front();
         }
-        let first = self.steps.front().map_or(self.end, |it| it.span.base);
-        let after = |whole: &Step| {
-            let later = self.steps.iter().filter(|it| it.span.base >= whole.span.target);
-            later.map(|it| it.patch.len()).sum::<usize>()
+        let first_base = self.patches.front().map_or(self.end, |patch| patch.span.base);
+        let bytes_after = |full: &Step| {
+            let later = self.patches.iter().filter(|patch| patch.span.base >= full.span.target);
+            later.map(|patch| patch.data.len()).sum::<usize>()
         };
-        // One that its steps outweigh, or no longer lead on from, is made anew when asked for.
-        self.whole.take_if(|it| it.span.target < first || after(it) > it.patch.len());
+        // A full version that is smaller than the patches after it, or that they no longer
+        // continue, is created again when it is needed.
+        self.full
+            .take_if(|full| full.span.target < first_base || bytes_after(full) > full.data.len());
     }
 
-    fn forget(&mut self) {
-        self.steps.clear();
-        self.whole = None;
+    fn clear(&mut self) {
+        self.patches.clear();
+        self.full = None;
     }
 }
 
-/// A step of which pieces have come.
+/// A patch of which chunks have been received.
 #[derive(Debug, Default)]
 pub struct Download {
     span: Span,
-    patch: Vec<u8>,
-    /// The last step did not fit the version held, so a whole one is asked for.
-    distrusts: bool,
+    data: Vec<u8>,
+    /// The last patch could not be applied, so a full version is requested.
+    needs_full: bool,
 }
 
 impl Download {
-    /// What to ask for.
+    /// Request for the next chunk.
     pub fn wanted(&self, held: u64) -> Wanted {
-        let held = if self.distrusts { 0 } else { held };
-        Wanted { held, span: self.span, at: self.patch.len() as u64 }
+        let held = if self.needs_full { 0 } else { held };
+        Wanted { held, span: self.span, at: self.data.len() as u64 }
     }
 
-    /// Whether a part has come.
+    /// Whether any chunk has been received.
     pub fn begun(&self) -> bool {
-        !self.patch.is_empty()
+        !self.data.is_empty()
     }
 
-    /// Notes that a step did not fit.
+    /// Requests a full version next, after a patch could not be applied.
     pub fn distrust(&mut self) {
-        self.distrusts = true;
+        self.needs_full = true;
     }
 
-    /// Takes a piece; the step once it is whole.
+    /// Adds a chunk; returns the patch once it is complete.
     pub fn take(&mut self, piece: Piece) -> Option<Step> {
-        if piece.span != self.span || piece.at != self.patch.len() as u64 {
+        if piece.span != self.span || piece.at != self.data.len() as u64 {
             self.span = piece.span;
-            self.patch.clear();
+            self.data.clear();
         }
-        if piece.at != self.patch.len() as u64 {
+        if piece.at != self.data.len() as u64 {
             return None;
         }
-        self.patch.extend_from_slice(&piece.bytes);
-        if (self.patch.len() as u64) < piece.length {
+        self.data.extend_from_slice(&piece.bytes);
+        if (self.data.len() as u64) < piece.length {
             return None;
         }
-        let whole = std::mem::take(self);
-        Some(Step { span: whole.span, patch: whole.patch.into() })
+        let complete = std::mem::take(self);
+        Some(Step { span: complete.span, data: complete.data.into() })
     }
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,8 +1,8 @@
-//! Other nodes as their heartbeats show them, and what follows for this one.
+//! Membership of nodes: who is alive, as their heartbeats show, and which roles follow from it.
 //!
-//! Which nodes read the store, and which gives orders, follows from the heartbeats without agreement:
-//! the first by name, passing over those whose reads fail. Two that differ for a moment both read;
-//! for orders the store's lease decides.
+//! Which nodes read the store and which one gives orders to engines follows from the heartbeats
+//! without agreement: the first by name, without those whose reads fail. If two nodes disagree for
+//! a moment, both read; orders are protected by the lease in the store.
 
 use crate::mirror::Ends;
 use crosslane_coordination::heartbeat::{self, FEW, Interval};
@@ -18,15 +18,15 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Nodes of a failure domain that read the store: with one, its silence would be noticed only
+/// Nodes of a failure domain that read the store: with a single one, its loss would be noticed only
 /// after seconds.
-const READERS: usize = 2;
+const READERS_PER_DOMAIN: usize = 2;
 
-/// Least time that a node leaves to the one before it to take over from readers that the store turns away,
-/// in milliseconds. Where heartbeats are rarer, it leaves it as long as they take.
-const TAKEOVER: u64 = 500;
+/// Minimum time between two nodes taking over from readers that the store rejects, in milliseconds.
+/// If heartbeats are rarer, it is their interval.
+const TAKEOVER_MS: u64 = 500;
 
-/// What a node tells the others.
+/// State that a node sends to all others at intervals.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// VM of the sender.
@@ -35,34 +35,34 @@
     pub domain: String,
     /// Time to its next heartbeats.
     pub interval: Interval,
-    /// Whether the sender goes on: it is not stopping.
+    /// Whether the sender keeps running: it is not stopping.
     pub steady: bool,
-    /// Whether the store answers the sender's reads.
+    /// Whether the sender read the store successfully a short time ago.
     pub fed: bool,
-    /// Time since the store answered again after a failure, in milliseconds, while endpoints' records that
-    /// lapsed meanwhile may still come back.
+    /// Time since the store recovered from an outage, in milliseconds, while endpoints may still
+    /// rewrite records that expired in it.
     pub returned: Option<u64>,
-    /// How far it knows the store.
+    /// Offsets up to which it has the data of the store.
     pub ends: Ends,
-    /// What it has at endpoints.
+    /// Its usage of endpoints.
     pub usage: Vec<(Tag, Usage)>,
-    /// Stages that it ordered engines to take, until they have.
+    /// Stage changes that it ordered and that engines have not completed.
     pub changing: Vec<(Tag, Stage)>,
-    /// Digest of the limits that endpoints name, as it knows them.
+    /// Digest of the endpoints' rate limits that it has received.
     pub limits: u64,
 }
 
-/// Whose limit a request counts against.
+/// Owner of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subject {
-    /// An organisation's, as configured.
+    /// An organisation, whose limit is configured.
     Organisation(Tag),
-    /// An endpoint's, as it names it.
+    /// An endpoint, which announces its limit.
     Endpoint(Tag),
 }
 
 impl Subject {
-    /// Name between nodes.
+    /// Tag in messages between nodes.
     pub fn tag(self) -> Tag {
         match self {
             Self::Organisation(tag) | Self::Endpoint(tag) => tag,
@@ -70,182 +70,186 @@
     }
 }
 
-/// What nodes send each other by UDP.
+/// Message between nodes, sent by UDP.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// Everything, at intervals.
+    /// The whole state of the sender, at intervals.
     Heartbeat(Heartbeat),
-    /// What changed at engines, to near nodes at once.
+    /// Changed usage of engines, sent to near nodes at once.
     Update {
         /// Tag of the sender's VM.
         vm: Tag,
-        /// What the sender now has at these engines.
+        /// The new usage of these engines.
         usage: Vec<(Tag, Usage)>,
     },
-    /// How far the sender knows the store, to some near nodes once it got a configuration from another.
+    /// Offsets that the sender has reached, sent to some near nodes after it pulled a
+    /// configuration.
     News {
-        /// How far.
+        /// Offsets up to which the sender has the data of the store.
         ends: Ends,
     },
-    /// What the sender saw or heard of requests under which endpoints ended, at once.
+    /// Suspicions that the sender made or received about requests that may crash endpoints, sent at
+    /// once.
     Words {
         /// Tag of the sender's VM.
         vm: Tag,
-        /// What, by request.
+        /// Suspicions by request.
         words: Vec<(Fingerprint, suspicion::Word)>,
     },
-    /// Which rulings the sender knows; after each heartbeat while there are any.
+    /// Digest of the rulings that the sender has, sent after each heartbeat while there are any.
     Rulings {
-        /// Digest of them all.
+        /// Digest of all rulings.
         digest: u64,
     },
-    /// Asks for all rulings.
+    /// Request for all rulings.
     RulingsWanted,
-    /// Limits that endpoints name, as the sender knows them.
+    /// Rate limits that endpoints announce, as the sender has them.
     Limits {
-        /// By endpoint.
+        /// Limits by endpoint.
         words: Vec<(Tag, LimitWord)>,
     },
-    /// Asks for all limits that endpoints name.
+    /// Request for all rate limits that endpoints announce.
     LimitsWanted,
-    /// Asks a limit's owner whether a request may be sent.
+    /// Asks the node that owns a limit to grant a request.
     Ask {
-        /// Number of the question.
+        /// Number of the question, repeated in the answer.
         number: u32,
-        /// Whose limit.
+        /// Owner of the limit.
         subject: Subject,
-        /// What it costs.
+        /// Cost of the request.
         cost: u32,
-        /// The limit as the sender knows it, if an endpoint names it.
+        /// The limit as the sender has it, if it is one of an endpoint.
         word: Option<LimitWord>,
     },
-    /// An owner's answer.
+    /// Answer of the node that owns the limit.
     Ruled {
-        /// Number of the question.
+        /// Number of the question, repeated in the answer.
         number: u32,
-        /// Whose limit.
+        /// Owner of the limit.
         subject: Subject,
-        /// Answer.
+        /// The answer.
         verdict: quota::Verdict,
     },
-    /// Gives back what was granted and not used.
+    /// Returns a grant that was not used.
     GivenBack {
-        /// Whose limit.
+        /// Owner of the limit.
         subject: Subject,
-        /// What it would have cost.
+        /// Cost of the request that was not sent.
         cost: u32,
     },
 }
 
-/// How a heartbeat is taken.
+/// Result of recording a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// Until when it counts.
+    /// Time at which its contents expire.
     pub until: Millis,
-    /// Whether its sender is near and was silent before: it should hear of this node at once, to know who
-    /// reads the store.
+    /// Whether its sender is near and was silent before. It needs a heartbeat of this node at once
+    /// to work out who reads the store.
     pub newcomer: bool,
 }
 
-/// Which nodes are told something.
+/// Which nodes get a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All that were ever heard of.
+    /// All known nodes, including silent ones.
     All,
-    /// Those that live.
+    /// Live nodes.
     Live,
-    /// Those that live and choose among the same engines: all, or among many those of this failure
-    /// domain.
+    /// Live nodes that choose among the same engines: all nodes of a small site, those of this
+    /// failure domain in a large one.
     Near,
 }
 
-/// Time for which a silent node may still serve callers that this one can't see, in milliseconds: cuts between
-/// nodes last seconds, and one that is gone for good must not hold its share of organisations' limits.
-const FORGOTTEN: u64 = 60_000;
+/// Time for which a silent node is assumed to still serve callers behind a network partition, in
+/// milliseconds: partitions last seconds, and a node that is gone for good must not hold its share
+/// of the organisations' limits.
+const PARTITION_MS: u64 = 60_000;
 
-/// What is known of another node.
+/// Another node.
 #[derive(Clone, Debug, Default)]
 struct Member {
     vm: String,
-    /// Name between nodes.
+    /// Tag in messages between nodes.
     tag: Tag,
     domain: String,
     steady: bool,
     fed: bool,
     ends: Ends,
-    heard: Option<Heard>,
+    last_heartbeat: Option<LastHeartbeat>,
 }
 
-/// When a node was last heard.
+/// The last heartbeat of a node.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastHeartbeat {
     at: Millis,
-    /// Time to its next heartbeat, in milliseconds.
-    interval: u64,
+    /// Time to the next heartbeat, in milliseconds.
+    interval_ms: u64,
 }
 
-impl Heard {
-    /// Until when its word counts.
+impl LastHeartbeat {
+    /// Time at which the node counts as silent.
     fn until(self) -> Millis {
-        self.at + heartbeat::life(self.interval)
+        self.at + heartbeat::life(self.interval_ms)
     }
 }
 
-/// Other nodes by address.
+/// The other nodes by address.
 #[derive(Debug)]
 pub struct Members {
-    me: IpAddr,
+    own_ip: IpAddr,
     vm: String,
     domain: String,
     /// Window of the retry budget, in milliseconds.
-    window: u64,
+    retry_window_ms: u64,
     members: HashMap<IpAddr, Member>,
-    /// Whether some were found that this node has not told of itself.
-    found: bool,
-    /// Since when too few nodes before this one read the store.
-    lacking: Option<Millis>,
+    /// Whether nodes were added that have not been sent a heartbeat yet.
+    unannounced: bool,
+    /// Since when too few of the nodes before this one read the store.
+    readers_missing_since: Option<Millis>,
 }
 
 impl Members {
-    /// The nodes named in the settings, not heard yet.
+    /// Creates the membership from the seeds in the settings, all silent as yet.
     pub fn new(settings: &Settings) -> Self {
         let mut members = Self {
-            me: settings.ip,
+            own_ip: settings.ip,
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
-            window: settings.retry_window,
+            retry_window_ms: settings.retry_window,
             members: HashMap::new(),
-            found: false,
-            lacking: None,
+            unannounced: false,
+            readers_missing_since: None,
         };
         settings.seeds.iter().for_each(|ip| members.add(*ip));
         members
     }
 
-    /// Adds a node that was not heard yet.
+    /// Adds a node that has sent no heartbeat yet.
     pub fn add(&mut self, ip: IpAddr) {
-        if ip != self.me && !self.members.contains_key(&ip) {
+        if ip != self.own_ip && !self.members.contains_key(&ip) {
             self.members.insert(ip, Member::default());
-            self.found = true;
+            self.unannounced = true;
         }
     }
 
-    /// Whether nodes were found, since this was last asked, that must be told of this one. Silent nodes are
-    /// told in every eighth round only: at 295 nodes a node that started was unknown for up to 18 s.
+    /// Whether nodes were added since the last call, which need a heartbeat of this one. Silent
+    /// nodes get only every eighth heartbeat: among 295 nodes, a node that started would be unknown
+    /// for up to 18 s.
     pub fn take_found(&mut self) -> bool {
-        std::mem::take(&mut self.found)
+        std::mem::take(&mut self.unannounced)
     }
 
-    /// Takes a heartbeat.
+    /// Records a heartbeat.
     pub fn hear(&mut self, ip: IpAddr, heartbeat: &Heartbeat, now: Millis) -> Word {
-        let interval = heartbeat.interval.toward(heartbeat.domain == self.domain);
-        let heard = Heard { at: now, interval };
-        let known = self.members.get(&ip).and_then(|it| it.heard);
-        let silent = known.is_none_or(|it| it.until() <= now);
-        let newcomer = ip != self.me && silent && self.near(&heartbeat.domain);
-        let word = Word { until: heard.until(), newcomer };
-        if ip == self.me {
-            return word;
+        let interval_ms = heartbeat.interval.toward(heartbeat.domain == self.domain);
+        let last_heartbeat = LastHeartbeat { at: now, interval_ms };
+        let previous = self.members.get(&ip).and_then(|member| member.last_heartbeat);
+        let silent = previous.is_none_or(|previous| previous.until() <= now);
+        let newcomer = ip != self.own_ip && silent && self.near(&heartbeat.domain);
+        let receipt = Word { until: last_heartbeat.until(), newcomer };
+        if ip == self.own_ip {
+            return receipt;
         }
         let member = Member {
             vm: heartbeat.vm.clone(),
@@ -254,48 +258,49 @@
             steady: heartbeat.steady,
             fed: heartbeat.fed,
             ends: heartbeat.ends,
-            heard: Some(heard),
+            last_heartbeat: Some(last_heartbeat),
         };
         self.members.insert(ip, member);
-        word
+        receipt
     }
 
-    /// Takes news of a node that is known.
+    /// Records the offsets that a known node announced between heartbeats.
     pub fn hear_news(&mut self, ip: IpAddr, ends: Ends) {
         if let Some(member) = self.members.get_mut(&ip) {
             member.ends = ends;
         }
     }
 
-    /// Addresses of the nodes that know enough, but for one that failed: those of this failure domain,
-    /// or else all. Traffic between domains is dear.
+    /// Addresses of live nodes with sufficient offsets, except for one that failed: those of this
+    /// failure domain, or all if there are none, since traffic between domains is expensive.
     pub fn holders(
         &self,
         now: Millis,
         failed: Option<IpAddr>,
-        enough: impl Fn(&Ends) -> bool,
+        sufficient: impl Fn(&Ends) -> bool,
     ) -> Vec<IpAddr> {
         let (own, other): (Vec<_>, Vec<_>) = self
             .live(now)
-            .filter(|(ip, it)| Some(**ip) != failed && enough(&it.ends))
-            .partition(|(_, it)| it.domain == self.domain);
-        let holders = if own.is_empty() { other } else { own };
-        holders.into_iter().map(|(ip, _)| *ip).collect()
+            .filter(|(ip, member)| Some(**ip) != failed && sufficient(&member.ends))
+            .partition(|(_, member)| member.domain == self.domain);
+        let chosen = if own.is_empty() { other } else { own };
+        chosen.into_iter().map(|(ip, _)| *ip).collect()
     }
 
-    /// Time between this node's heartbeats.
+    /// Interval of this node's heartbeats.
     pub fn interval(&self) -> Interval {
         Interval::among(self.members.len())
     }
 
-    /// Whether nodes of a failure domain choose among the same engines as this one.
+    /// Whether the nodes of a failure domain choose among the same engines as this one.
     fn near(&self, domain: &str) -> bool {
         self.members.len() <= FEW || domain == self.domain
     }
 
     fn live(&self, now: Millis) -> impl Iterator<Item = (&IpAddr, &Member)> {
-        let heard = move |it: &Member| it.heard.is_some_and(|it| now < it.until());
-        self.members.iter().filter(move |(_, it)| heard(it))
+        let is_live =
+            move |member: &Member| member.last_heartbeat.is_some_and(|last| now < last.until());
+        self.members.iter().filter(move |(_, member)| is_live(member))
     }
 
     /// Addresses of the nodes in a scope.
@@ -304,64 +309,73 @@
             Scope::All => self.members.keys().copied().collect(),
             Scope::Live => self.live(now).map(|(ip, _)| *ip).collect(),
             Scope::Near => {
-                let near = self.live(now).filter(|(_, it)| self.near(&it.domain));
+                let near = self.live(now).filter(|(_, member)| self.near(&member.domain));
                 near.map(|(ip, _)| *ip).collect()
             }
         }
     }
 
-    /// Nodes that spend from the retry budget, this one among them: what a silent one spent up to the
-    /// heartbeat that it owed still counts for a window. Until this node has lived that long, those
-    /// not heard yet count too: after a restart of all, each would else take most of the budget.
+    /// Number of nodes that share the retry budget, including this one. A node that fell silent may
+    /// have spent from it until its next heartbeat was due, which counts for one window. During the
+    /// first window of this node, nodes that were never heard count too: after a restart of all
+    /// nodes, each would otherwise take most of the budget.
     pub fn count(&self, now: Millis) -> usize {
-        let started = now < Millis(self.window);
-        let spends =
-            |it: &&Member| it.heard.map_or(started, |it| now < it.at + it.interval + self.window);
+        let starting = now < Millis(self.retry_window_ms);
+        let spends = |member: &&Member| {
+            member
+                .last_heartbeat
+                .map_or(starting, |last| now < last.at + last.interval_ms + self.retry_window_ms)
+        };
         1 + self.members.values().filter(spends).count()
     }
 
-    /// Nodes that may rule on a limit, first choice first, among all that live and are not stopping.
+    /// Candidates for owning the limit of a subject, in order of preference, among the live nodes
+    /// that are not stopping.
     pub fn owners(&self, subject: Tag, now: Millis) -> Vec<IpAddr> {
-        let others = self.live(now).filter(|(_, it)| it.steady).map(|(ip, it)| (it.tag, *ip));
-        quota::owners(subject, others.chain([(Tag::of(&self.vm), self.me)]))
+        let others = self
+            .live(now)
+            .filter(|(_, member)| member.steady)
+            .map(|(ip, member)| (member.tag, *ip));
+        quota::owners(subject, others.chain([(Tag::of(&self.vm), self.own_ip)]))
     }
 
-    /// Nodes that this one sees, and those that may serve callers, this one among both. Until this node has
-    /// lived for a while, those not heard yet count too.
+    /// Number of live nodes, and of nodes that may serve callers, both including this one. During
+    /// the first window of this node, nodes that were never heard count as serving.
     pub fn seen(&self, now: Millis) -> (usize, usize) {
-        let started = now < Millis(self.window);
-        let serves = |it: &&Member| {
-            it.heard.map_or(started, |heard| {
-                now < heard.until() || (it.steady && now.since(heard.at) < FORGOTTEN)
+        let starting = now < Millis(self.retry_window_ms);
+        let serves = |member: &&Member| {
+            member.last_heartbeat.map_or(starting, |last| {
+                now < last.until() || (member.steady && now.since(last.at) < PARTITION_MS)
             })
         };
         (1 + self.live(now).count(), 1 + self.members.values().filter(serves).count())
     }
 
-    /// Whether this node comes first among those that may give orders.
+    /// Whether this node is the first by name of those that may give orders to engines.
     pub fn first(&self, now: Millis) -> bool {
-        let mut others = self.live(now).filter(|(_, it)| it.steady && it.fed);
-        others.all(|(_, it)| self.vm < it.vm)
+        let mut others = self.live(now).filter(|(_, member)| member.steady && member.fed);
+        others.all(|(_, member)| self.vm < member.vm)
     }
 
-    /// Whether this node is one of its failure domain's readers of the store.
+    /// Whether this node is one of the readers of the store in its failure domain.
     ///
-    /// Load pattern: a store that turns many nodes away, or all. The first nodes by name read. Where
-    /// they are turned away, the next ones take over one after the other, so that a store which is
-    /// out for 4 s is asked by a few: when all took over at once, 295 nodes made 4,700 calls to
-    /// it (of 13,500 in a day), which said no more than the readers' own.
+    /// Load pattern: a store that rejects the calls of many nodes, or of all. The first nodes by
+    /// name read. If they are rejected, the next ones take over one after the other, so a store
+    /// that is out for 4 s gets calls from a few nodes only. If all took over at once, 295 nodes
+    /// would make 4,700 calls to it (of 13,500 in a day), which return no more than those of the
+    /// readers.
     pub fn reads(&mut self, now: Millis) -> bool {
-        let before = self
-            .live(now)
-            .filter(|(_, it)| it.domain == self.domain && it.steady && it.vm < self.vm);
-        let (rank, fed) =
-            before.fold((0, 0), |(rank, fed), (_, it)| (rank + 1, fed + usize::from(it.fed)));
-        if rank < READERS || fed >= READERS {
-            self.lacking = None;
-            return rank < READERS;
+        let predecessors = self.live(now).filter(|(_, member)| {
+            member.domain == self.domain && member.steady && member.vm < self.vm
+        });
+        let (rank, fed) = predecessors
+            .fold((0, 0), |(rank, fed), (_, member)| (rank + 1, fed + usize::from(member.fed)));
+        if rank < READERS_PER_DOMAIN || fed >= READERS_PER_DOMAIN {
+            self.readers_missing_since = None;
+            return rank < READERS_PER_DOMAIN;
         }
-        let since = *self.lacking.get_or_insert(now);
-        let step = TAKEOVER.max(self.interval().near);
-        now.since(since) >= step * (rank - READERS + 1) as u64
+        let missing_since = *self.readers_missing_since.get_or_insert(now);
+        let step_ms = TAKEOVER_MS.max(self.interval().near);
+        now.since(missing_since) >= step_ms * (rank - READERS_PER_DOMAIN + 1) as u64
     }
 }
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -1,6 +1,6 @@
-//! What the store holds, as this node last read it or was told by another node.
+//! Replica of the store's data, from reads of the store and from other nodes.
 //!
-//! Both topics are logs, so what lies at a higher offset is newer, whoever tells it.
+//! Both topics are logs: a higher offset is newer, wherever the record comes from.
 
 use crate::history::{History, PIECE, Piece, Step, Wanted};
 use bytes::Bytes;
@@ -10,22 +10,22 @@
 use std::io;
 use std::ops::Bound;
 
-/// Endpoints' records that are kept for nodes that are behind: more than the endpoints of a site of 300
-/// nodes write when they all start. With 512 nodes fell so far behind there that each was sent
-/// the whole list, again and again, over links of 10 Mbit/s.
-const RECENT: usize = 8_192;
+/// Recent records of endpoints that are kept for nodes that are behind: more than the endpoints of
+/// a site of 300 nodes write when all start. If only 512 are kept, nodes fall so far behind in such
+/// a start that each gets the whole snapshot again and again, over links of 10 Mbit/s.
+const MAX_RECENT: usize = 8_192;
 
-/// What a node follows in the store.
+/// Topic of the store that nodes follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
-    /// The operators', of which it takes the configuration.
+    /// The topic of the operators, of which nodes use the configuration.
     Operators,
-    /// The endpoints'.
+    /// The topic of the endpoints.
     Endpoints,
 }
 
 impl Topic {
-    /// Its name in the store.
+    /// Name in the store.
     pub fn name(self) -> &'static str {
         match self {
             Self::Operators => store::OPERATORS,
@@ -34,17 +34,17 @@
     }
 }
 
-/// Offsets up to which a node knows the store.
+/// Offsets up to which a node has the data of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ends {
-    /// After the newest configuration's record.
+    /// Offset after the newest record of the configuration.
     pub configuration: u64,
-    /// After the newest endpoint's record.
+    /// Offset after the newest record of an endpoint.
     pub endpoints: u64,
 }
 
 impl Ends {
-    /// The one of a topic.
+    /// Offset of a topic.
     pub fn of(&self, topic: Topic) -> u64 {
         match topic {
             Topic::Operators => self.configuration,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A record of an endpoint, as nodes send it.
+/// Record of an endpoint as nodes send it to each other.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Entry {
     offset: u64,
@@ -63,10 +63,10 @@
 
 impl Entry {
     fn new(offset: u64, key: &str, value: Option<&Bytes>) -> Self {
-        Self { offset, key: key.to_owned(), value: value.map(|it| it.to_vec()) }
+        Self { offset, key: key.to_owned(), value: value.map(|bytes| bytes.to_vec()) }
     }
 
-    /// Bytes of its key and value.
+    /// Size of its key and value, in bytes.
     fn len(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len)
     }
@@ -79,57 +79,58 @@
     }
 }
 
-/// Endpoints' records that another node lacks.
+/// Records of endpoints for a node that is behind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Part {
-    /// Those that lie after what it has read.
+    /// The changes after its offset.
     Recent {
-        /// In the order of the log.
+        /// Records in the order of the log.
         entries: Vec<Entry>,
-        /// Offset after the last of them.
+        /// Offset after the last record.
         end: u64,
     },
-    /// A page of the newest ones of all keys, for a node that is too far behind.
+    /// A page of the newest records of all keys, for a node that is too far behind.
     Listed {
-        /// In the order of their keys.
+        /// Records in the order of their keys.
         entries: Vec<Entry>,
-        /// Offset up to which the list is complete.
+        /// Offset up to which the snapshot is complete.
         end: u64,
-        /// Key after which the next page begins; nothing after the last page.
+        /// Key after which the next page begins; nothing on the last page.
         next: Option<String>,
     },
 }
 
 impl Part {
-    /// Bytes of its records' keys and values.
+    /// Size of the keys and values of its records, in bytes.
     pub fn len(&self) -> usize {
         let (Self::Recent { entries, .. } | Self::Listed { entries, .. }) = self;
         entries.iter().map(Entry::len).sum()
     }
 
-    /// Whether it brings no records.
+    /// Whether it holds no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A list of which pages have come, from one node or several.
+/// Pages of a snapshot received so far, from one node or several.
 #[derive(Debug, Default)]
 pub struct List {
     entries: Vec<Entry>,
-    /// Offset up to which it is complete: what came between two pages is read again after it.
+    /// Offset up to which the snapshot is complete, the lowest of all pages: changes between two
+    /// pages are pulled after it.
     end: u64,
     /// Key after which the next page begins.
     next: Option<String>,
 }
 
 impl List {
-    /// Key after which the next page begins; nothing for the first one.
+    /// Key after which the next page begins; nothing for the first page.
     pub fn after(&self) -> Option<&String> {
         self.next.as_ref()
     }
 
-    /// Adds a page; the list once it is whole.
+    /// Adds a page; returns the snapshot once it is complete.
     pub fn add(&mut self, entries: Vec<Entry>, end: u64, next: Option<String>) -> Option<Self> {
         self.end = if self.next.is_some() { self.end.min(end) } else { end };
         self.entries.extend(entries);
@@ -138,16 +139,16 @@
     }
 }
 
-/// What changed.
+/// Topics that a merge changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Change {
     /// The configuration.
     pub configuration: bool,
-    /// The endpoints' records.
+    /// The records of endpoints.
     pub endpoints: bool,
 }
 
-/// Endpoints' records.
+/// Records of endpoints.
 #[derive(Debug, Default)]
 struct Endpoints {
     end: u64,
@@ -157,95 +158,101 @@
 }
 
 impl Endpoints {
-    /// Takes records that lie one after the other; false if nothing is new.
+    /// Merges consecutive records; returns false if none is new.
     fn append(&mut self, page: Page) -> bool {
         if page.end <= self.end {
             return false;
         }
-        let told = self.end;
-        page.records.into_iter().filter(|it| it.offset >= told).for_each(|it| self.put(it));
+        let known_end = self.end;
+        page.records
+            .into_iter()
+            .filter(|record| record.offset >= known_end)
+            .for_each(|record| self.insert(record));
         self.end = page.end;
         true
     }
 
-    /// Takes the newest records of all keys; false if nothing is new.
+    /// Replaces everything by the newest records of all keys; returns false if they are not newer.
     fn replace(&mut self, page: Page) -> bool {
         if page.end <= self.end {
             return false;
         }
-        let values = page.records.into_iter();
-        self.newest = values.filter_map(|it| Some((it.key, it.value?))).collect();
+        let records = page.records.into_iter();
+        self.newest = records.filter_map(|record| Some((record.key, record.value?))).collect();
         self.recent.clear();
         self.end = page.end;
         true
     }
 
-    fn put(&mut self, record: Record) {
+    fn insert(&mut self, record: Record) {
         match &record.value {
             Some(value) => self.newest.insert(record.key.clone(), value.clone()),
             None => self.newest.remove(&record.key),
         };
-        if self.recent.len() == RECENT {
+        if self.recent.len() == MAX_RECENT {
             self.recent.pop_front();
         }
         self.recent.push_back(record);
     }
 
-    /// What a node lacks that has read up to an offset; of a list, what comes after a key.
+    /// Records for a node that has read up to an offset; for the next page of a snapshot, those
+    /// after a key.
     fn part(&self, from: u64, after: Option<&str>) -> Part {
-        let kept = self.recent.front().is_some_and(|it| it.offset <= from);
+        let kept = self.recent.front().is_some_and(|record| record.offset <= from);
         if after.is_some() || (from < self.end && !kept) {
-            return self.listed(after);
+            return self.snapshot_page(after);
         }
-        let lacking = self.recent.iter().filter(|it| it.offset >= from);
-        let entries = lacking.map(|it| Entry::new(it.offset, &it.key, it.value.as_ref()));
-        let (entries, more) = bounded(entries);
-        let last = entries.last().map(|it| it.offset + 1);
-        Part::Recent { entries, end: last.filter(|_| more).unwrap_or(self.end) }
+        let changes = self.recent.iter().filter(|record| record.offset >= from);
+        let entries =
+            changes.map(|record| Entry::new(record.offset, &record.key, record.value.as_ref()));
+        let (entries, more) = first_chunk(entries);
+        let sent_end = entries.last().map(|entry| entry.offset + 1);
+        Part::Recent { entries, end: sent_end.filter(|_| more).unwrap_or(self.end) }
     }
 
-    fn listed(&self, after: Option<&str>) -> Part {
+    fn snapshot_page(&self, after: Option<&str>) -> Part {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let rest = self.newest.range::<str, _>((from, Bound::Unbounded));
-        let (entries, more) = bounded(rest.map(|(key, value)| Entry::new(0, key, Some(value))));
-        let next = entries.last().filter(|_| more).map(|it| it.key.clone());
+        let records = self.newest.range::<str, _>((from, Bound::Unbounded));
+        let (entries, more) =
+            first_chunk(records.map(|(key, value)| Entry::new(0, key, Some(value))));
+        let next = entries.last().filter(|_| more).map(|entry| entry.key.clone());
         Part::Listed { entries, end: self.end, next }
     }
 }
 
-/// The first entries, up to some bytes, and whether there are more.
-fn bounded(entries: impl Iterator<Item = Entry>) -> (Vec<Entry>, bool) {
-    let mut taken = Vec::new();
+/// Takes the first entries up to the size of a chunk; returns whether more are left.
+fn first_chunk(entries: impl Iterator<Item = Entry>) -> (Vec<Entry>, bool) {
+    let mut chosen = Vec::new();
     let mut bytes = 0;
     for entry in entries {
         if bytes >= PIECE {
-            return (taken, true);
+            return (chosen, true);
         }
         bytes += entry.len();
-        taken.push(entry);
+        chosen.push(entry);
     }
-    (taken, false)
+    (chosen, false)
 }
 
-/// The configuration and the endpoints' records.
+/// Replica of the configuration and of the endpoints' records.
 #[derive(Debug, Default)]
 pub struct Mirror {
-    /// Offset up to which the operators' topic was read.
-    operators: u64,
+    /// Offset up to which the topic of the operators was read.
+    operators_end: u64,
     configuration: History,
     endpoints: Endpoints,
 }
 
 impl Mirror {
-    /// How far this node knows the store.
+    /// Offsets up to which this node has the data of the store.
     pub fn ends(&self) -> Ends {
         Ends { configuration: self.configuration.end(), endpoints: self.endpoints.end }
     }
 
-    /// Offset from which a topic is to be read.
+    /// Offset from which the next read of a topic starts.
     pub fn end(&self, topic: Topic) -> u64 {
         match topic {
-            Topic::Operators => self.operators.max(self.configuration.end()),
+            Topic::Operators => self.operators_end.max(self.configuration.end()),
             Topic::Endpoints => self.endpoints.end,
         }
     }
@@ -255,27 +262,27 @@
         self.configuration.text()
     }
 
-    /// Endpoints' records by id.
+    /// Records of endpoints by id.
     pub fn endpoints(&self) -> impl Iterator<Item = (&String, &Bytes)> {
         self.endpoints.newest.iter()
     }
 
-    /// Takes records of a topic: those from an offset on, or without one all there are. What
-    /// another node told meanwhile is left out.
+    /// Merges records read from the store: those from an offset on, or all if there is none.
+    /// Records that have come from another node meanwhile are skipped.
     pub fn take(&mut self, topic: Topic, page: Page, from: Option<u64>) -> Change {
         let mut change = Change::default();
         match (topic, from) {
-            (Topic::Operators, _) => change.configuration = self.take_configurations(page),
+            (Topic::Operators, _) => change.configuration = self.merge_configurations(page),
             (Topic::Endpoints, Some(_)) => change.endpoints = self.endpoints.append(page),
             (Topic::Endpoints, None) => change.endpoints = self.endpoints.replace(page),
         }
         change
     }
 
-    fn take_configurations(&mut self, page: Page) -> bool {
-        self.operators = self.operators.max(page.end);
+    fn merge_configurations(&mut self, page: Page) -> bool {
+        self.operators_end = self.operators_end.max(page.end);
         let mut changed = false;
-        for record in page.records.into_iter().filter(|it| it.key == store::CONFIGURATION) {
+        for record in page.records.into_iter().filter(|record| record.key == store::CONFIGURATION) {
             if let Some(text) = record.value {
                 changed |= self.configuration.put(record.offset + 1, text);
             }
@@ -283,32 +290,33 @@
         changed
     }
 
-    /// The next piece of the configuration for another node, if this one knows a newer one.
+    /// The next chunk of the configuration for another node, if this one has a newer version.
     pub fn piece(&mut self, wanted: Wanted) -> io::Result<Option<Piece>> {
         self.configuration.piece(wanted)
     }
 
-    /// Takes a whole step of the configuration from another node.
+    /// Applies a complete patch of the configuration from another node.
     pub fn take_step(&mut self, step: Step) -> io::Result<Change> {
         Ok(Change { configuration: self.configuration.take(step)?, endpoints: false })
     }
 
-    /// Endpoints' records for a node that has read up to an offset; of a list, those after a key.
+    /// Records of endpoints for a node that has read up to an offset; for the next page of a
+    /// snapshot, those after a key.
     pub fn part(&self, from: u64, after: Option<&str>) -> Part {
         self.endpoints.part(from, after)
     }
 
-    /// Takes records that another node sent in the order of the log.
+    /// Merges changes that another node sent, in the order of the log.
     pub fn merge_recent(&mut self, entries: Vec<Entry>, end: u64) -> Change {
-        let first = entries.first().map_or(end, |it| it.offset);
-        // What lies between was not sent.
-        let gap = first > self.endpoints.end;
+        let first_offset = entries.first().map_or(end, |entry| entry.offset);
+        // The records in between were not sent.
+        let gap = first_offset > self.endpoints.end;
         let records = entries.into_iter().map(Record::from).collect();
         let endpoints = !gap && self.endpoints.append(Page { records, end });
         Change { configuration: false, endpoints }
     }
 
-    /// Takes a whole list that other nodes sent.
+    /// Merges a complete snapshot that other nodes sent.
     pub fn merge_list(&mut self, list: List) -> Change {
         let records = list.entries.into_iter().map(Record::from).collect();
         let page = Page { records, end: list.end };
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts that a node's tasks share.
+//! State that the tasks of a node share.
 
 use crate::cache::Lists;
 use crate::control::Control;
@@ -37,112 +37,114 @@
 
 pub use crosslane_transport::http::Reply;
 
-/// Time after the store's return in which endpoints' records may still come back, in
-/// milliseconds: about 2 s for live ones, and a margin for reading them.
-const LAPSE_WINDOW: u64 = 2_500;
+/// Time after the store recovers during which endpoints may still rewrite records that expired in
+/// the outage, in milliseconds: about 2 s for live endpoints, and a margin for reading the records.
+const EXPIRY_GRACE_MS: u64 = 2_500;
 
-/// Time after a read in which the store counts as answering, in milliseconds: a waiting read and
+/// Time after a read during which the store counts as reachable, in milliseconds: a long poll and
 /// the time for its answer.
-const FED: u64 = 3_300;
+const STORE_FRESH_MS: u64 = 3_300;
 
-/// Share of the endpoints (one in so many) whose records going at once looks like a store that
-/// lost them rather than like endpoints that left.
-const MASS_LAPSE: usize = 3;
+/// If more than one in this many endpoints lose their records at once, the store probably lost the
+/// records; the endpoints need not have left.
+const MASS_EXPIRY_DIVISOR: usize = 3;
 
-/// Share of the link (one part in so many) that what is handed to other nodes may take; callers have the
-/// rest.
-const LINK_SHARE: u64 = 2;
+/// Transfers to other nodes may use one part in this many of the link; the rest is for callers.
+const LINK_SHARE_DIVISOR: u64 = 2;
 
-/// Bytes that may be handed to other nodes at once: 0.1 s of a link of 10 Mbit/s, behind which an endpoint's
-/// leaving waits at most.
-const BURST: u32 = 128 * 1_024;
+/// Bytes that may be sent to other nodes in one burst: 0.1 s of a 10 Mbit/s link. The notice that
+/// an endpoint leaves waits no longer than that behind a transfer.
+const BURST_BYTES: u32 = 128 * 1_024;
 
-/// Time after a suspension, in milliseconds, in which a node that hears of nothing newer serves nobody: a read
-/// of the store and two heartbeats. After it, it serves by what it knows, as with the store out of reach.
-const UNSURE: u64 = 1_500;
+/// Time after a suspension during which a node that has not been brought up to date serves no
+/// callers, in milliseconds: a read of the store and two heartbeats. After it, the node serves with
+/// the state that it has, as in a store outage.
+const RESUME_GRACE_MS: u64 = 1_500;
 
-/// Time that a caller waits for a newer configuration which other nodes have: what it takes them (0.2 to 0.3 s).
-/// One whose key was added a moment ago would else be refused for good.
-const CATCH_UP: Duration = Duration::from_millis(350);
+/// Time that a request waits for a newer configuration that other nodes have: its transfer takes
+/// 0.2 to 0.3 s. Without the wait, a caller whose key was just added would be rejected.
+const NEWER_CONFIGURATION_WAIT: Duration = Duration::from_millis(350);
 
-/// Source of what was read from the store by this node.
+/// Log name of the store as the source of a change.
 pub const STORE: &str = "store";
 
-/// What a node shares between its tasks.
+/// State that the tasks of a node share.
 #[derive(Debug)]
 pub struct Node {
-    /// Settings.
+    /// Node settings.
     pub settings: Settings,
-    /// Clock.
+    /// Clock that also counts while the machine is suspended.
     pub clock: Clock,
     /// Metrics.
     pub meter: Meter,
-    /// Calls to engines besides requests.
+    /// Client for control calls to engines.
     pub control: Control,
-    /// Connections to plain endpoints that rest between two requests.
+    /// Idle connections to plain endpoints.
     pub idle: Kept,
     /// Other nodes.
     pub members: Mutex<Members>,
-    /// What engines keep of prompts.
+    /// Cached prompt prefixes of the engines.
     pub lists: Lists,
-    /// Wakes what tells others of a change.
+    /// Wakes the heartbeat sender before its interval is over.
     pub changed: Notify,
-    /// Wakes what tells near nodes of requests at engines.
+    /// Wakes the sender of usage updates to near nodes.
     pub updated: Notify,
-    /// How far another node knows the store, at the most.
+    /// Highest offsets that any other node has announced.
     pub told: watch::Sender<Ends>,
-    /// Wakes what tells near nodes of a configuration that came from another one.
+    /// Wakes the announcement of a configuration that was pulled from another node.
     pub gained: Notify,
-    /// Wakes what tells others of requests under which endpoints ended.
+    /// Wakes the broadcast of suspicions about requests that may crash endpoints.
     pub suspected: Notify,
-    /// Wakes what tells others of limits that endpoints name.
+    /// Wakes the broadcast of rate limits that endpoints announce.
     pub limited: Notify,
-    /// Wakes what writes rulings to the store.
+    /// Wakes the writer of rulings to the store.
     pub ruled: Notify,
-    /// Looks at endpoints that broke something off.
+    /// Liveness checks of endpoints that broke off an answer.
     pub checks: Checks,
-    /// Whether the store was asked which requests are shut out, be it in vain.
+    /// Whether reading the rulings from the store was tried, with or without success.
     pub rulings_read: AtomicBool,
-    /// Organisations' limits.
+    /// Rate limits of organisations.
     pub quota: Desk,
-    /// Limits that endpoints name.
+    /// Rate limits of endpoints, as a node grants them.
     pub throttle: Desk,
-    /// Socket for messages between nodes, once it is bound.
+    /// UDP socket for messages between nodes, once it is bound.
     pub socket: OnceLock<Arc<UdpSocket>>,
-    /// Wakes what waits for a newer configuration.
-    in_force: Notify,
-    /// When the stop was announced.
+    /// Wakes requests that wait for a newer configuration.
+    configuration_applied: Notify,
+    /// When the node began to stop, if it did.
     pub stopping: watch::Sender<Option<Millis>>,
     mirror: Mutex<Mirror>,
     directory: Mutex<Directory>,
     table: Mutex<Option<Arc<Table>>>,
     pool: Mutex<Pool>,
     allowance: Mutex<Allowance>,
-    store_back: Mutex<Millis>,
-    store_read: Mutex<Option<Millis>>,
+    store_recovered_at: Mutex<Millis>,
+    store_read_at: Mutex<Option<Millis>>,
     /// Whether the last call to the store failed.
     store_lost: AtomicBool,
-    /// When the machine went on after a suspension, until this node knows what changed meanwhile.
-    woken: Mutex<Option<Millis>>,
-    /// How fast large things are handed to other nodes.
-    pace: Mutex<Pace>,
+    /// When the machine resumed from a suspension; nothing once this node is up to date again.
+    resumed_at: Mutex<Option<Millis>>,
+    /// Token bucket for the bytes of transfers to other nodes.
+    peer_bandwidth: Mutex<Pace>,
+    /// Deadlines that callers give, by route.
     patience: Mutex<HashMap<String, Patience>>,
-    /// How long requests last, by service.
+    /// Durations of recent requests, by service.
     durations: Mutex<HashMap<String, Durations>>,
     quarantine: Mutex<Quarantine>,
     limits: Mutex<Limits>,
-    /// Requests that wait for room under limits that this node owns.
+    /// Requests queued for limits that this node owns.
     pub queues: Mutex<Queues>,
 }
 
-/// Rest after which a connection to a plain endpoint is not used again: shorter than the shortest after which endpoints
-/// close them.
-const IDLE_REST: Duration = Duration::from_millis(700);
+/// Idle time after which a connection to a plain endpoint is not reused: shorter than the shortest
+/// idle timeout of endpoints.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Connections that are kept for each plain endpoint: those of all nodes together count against its cap.
-const IDLE_KEPT: usize = 3;
+/// Idle connections kept for each plain endpoint: the connections of all nodes count against its
+/// cap.
+const MAX_IDLE_CONNECTIONS: usize = 3;
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
 pub struct Open {
     service: String,
@@ -150,7 +152,7 @@
 }
 
 impl Node {
-    /// A node that knows only its settings.
+    /// Creates a node that has read nothing yet.
     pub fn new(settings: Settings) -> prometheus::Result<Self> {
         let budget = Budget {
             ratio: settings.retry_ratio,
@@ -161,7 +163,7 @@
             clock: Clock::start(),
             meter: Meter::new()?,
             control: Control::default(),
-            idle: Kept::new(IDLE_REST, IDLE_KEPT),
+            idle: Kept::new(IDLE_TIMEOUT, MAX_IDLE_CONNECTIONS),
             lists: Lists::default(),
             members: Mutex::new(Members::new(&settings)),
             changed: Notify::new(),
@@ -176,18 +178,18 @@
             quota: Desk::new(settings.quota),
             throttle: Desk::new(limits::BOUND),
             socket: OnceLock::new(),
-            in_force: Notify::new(),
+            configuration_applied: Notify::new(),
             stopping: watch::Sender::new(None),
             mirror: Mutex::default(),
             directory: Mutex::default(),
             table: Mutex::default(),
             pool: Mutex::new(Pool::new(settings.domain.clone(), SmallRng::from_os_rng())),
             allowance: Mutex::new(Allowance::new(budget)),
-            store_back: Mutex::default(),
-            store_read: Mutex::default(),
+            store_recovered_at: Mutex::default(),
+            store_read_at: Mutex::default(),
             store_lost: AtomicBool::new(false),
-            woken: Mutex::default(),
-            pace: Mutex::new(Pace::new(settings.link / LINK_SHARE, BURST)),
+            resumed_at: Mutex::default(),
+            peer_bandwidth: Mutex::new(Pace::new(settings.link / LINK_SHARE_DIVISOR, BURST_BYTES)),
             patience: Mutex::default(),
             durations: Mutex::default(),
             quarantine: Mutex::new(Quarantine::new(Tag::of(&settings.vm))),
@@ -197,66 +199,67 @@
         })
     }
 
-    /// Counts a request of a service as under way.
+    /// Records the start of a request for a service.
     pub fn begin(&self, service: &str) -> Open {
         let mark = lock(&self.durations).entry(service.to_owned()).or_default().begin(self.now());
         Open { service: service.to_owned(), mark }
     }
 
-    /// Notes that a request ended, be it answered whole or not.
-    pub fn end(&self, open: Open, whole: bool) {
-        if let Some(durations) = lock(&self.durations).get_mut(&open.service) {
-            durations.end(open.mark, whole, self.now());
+    /// Records the end of a request, and whether it was answered completely.
+    pub fn end(&self, request: Open, complete: bool) {
+        if let Some(durations) = lock(&self.durations).get_mut(&request.service) {
+            durations.end(request.mark, complete, self.now());
         }
     }
 
-    /// Time that requests of a service last at the longest, if any was answered lately.
+    /// Duration of the longest recent requests for a service, if any was answered lately.
     pub fn longest(&self, service: &str) -> Option<Duration> {
         let longest = lock(&self.durations).get_mut(service)?.longest(self.now());
         longest.map(Duration::from_millis)
     }
 
-    /// This node's name between nodes.
+    /// Tag of this node in messages between nodes.
     pub fn tag(&self) -> Tag {
         Tag::of(&self.settings.vm)
     }
 
-    /// Time since the start.
+    /// Time since the process started.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// The configuration in force, once there is one.
+    /// The configuration in force, if there is one.
     pub fn table(&self) -> Option<Arc<Table>> {
         lock(&self.table).clone()
     }
 
-    /// The configuration in force, or a newer one that another node told of, if it comes in time.
+    /// The configuration in force; if another node announced a newer one, waits for it for a
+    /// limited time.
     pub async fn newer_table(&self, before: Arc<Table>) -> Arc<Table> {
-        let in_force = self.in_force.notified();
+        let configuration_applied = self.configuration_applied.notified();
         if self.behind(Topic::Operators) {
-            // Without a newer one the one in force decides.
-            let _ = timeout(CATCH_UP, in_force).await;
+            // On timeout, the configuration in force is used.
+            let _ = timeout(NEWER_CONFIGURATION_WAIT, configuration_applied).await;
         }
         self.table().unwrap_or(before)
     }
 
-    /// Endpoints.
+    /// The pool of endpoints.
     pub fn pool(&self) -> MutexGuard<'_, Pool> {
         lock(&self.pool)
     }
 
-    /// What the store holds.
+    /// The replica of the store.
     pub fn mirror(&self) -> MutexGuard<'_, Mirror> {
         lock(&self.mirror)
     }
 
-    /// Requests under which endpoints ended.
+    /// Requests that are suspected of crashing endpoints.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         lock(&self.quarantine)
     }
 
-    /// Where it is decided what may be used of a limit.
+    /// The rate limiter that is responsible for a subject.
     pub fn desk(&self, subject: Subject) -> &Desk {
         match subject {
             Subject::Organisation(_) => &self.quota,
@@ -264,119 +267,122 @@
         }
     }
 
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints announce.
     pub fn limits(&self) -> MutexGuard<'_, Limits> {
         lock(&self.limits)
     }
 
-    /// Notes how far another node knows the store.
+    /// Records the offsets that another node announced.
     pub fn hear_of(&self, ends: Ends) {
-        self.told.send_if_modified(|told| {
-            let before = *told;
-            told.configuration = told.configuration.max(ends.configuration);
-            told.endpoints = told.endpoints.max(ends.endpoints);
-            *told != before
+        self.told.send_if_modified(|highest| {
+            let before = *highest;
+            highest.configuration = highest.configuration.max(ends.configuration);
+            highest.endpoints = highest.endpoints.max(ends.endpoints);
+            *highest != before
         });
     }
 
-    /// Whether another node knows more of a topic.
+    /// Whether another node has newer data of a topic.
     pub fn behind(&self, topic: Topic) -> bool {
         let known = self.mirror().ends();
         self.told.borrow().of(topic) > known.of(topic)
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this node can serve callers.
     pub fn ready(&self) -> bool {
-        let asked = self.rulings_read.load(Ordering::Relaxed);
-        let informed = asked && self.table().is_some() && self.caught_up();
-        self.stopping.borrow().is_none() && informed && !self.pool().is_empty()
+        let rulings_tried = self.rulings_read.load(Ordering::Relaxed);
+        let has_state = rulings_tried && self.table().is_some() && self.caught_up();
+        self.stopping.borrow().is_none() && has_state && !self.pool().is_empty()
     }
 
-    /// Notes that the machine was suspended: what is believed is that much older, and others took this node
-    /// for gone.
+    /// Records that the machine was suspended: all state is older by that time, and the other nodes
+    /// took this node for dead.
     pub fn wake(&self) {
-        *lock(&self.woken) = Some(self.now());
-        *lock(&self.store_read) = None;
+        *lock(&self.resumed_at) = Some(self.now());
+        *lock(&self.store_read_at) = None;
         self.changed.notify_one();
     }
 
-    /// Notes that this node knows what the store, or another node, knows now.
+    /// Records that this node has the newest data of the store or of another node.
     pub fn refreshed(&self) {
-        *lock(&self.woken) = None;
+        *lock(&self.resumed_at) = None;
     }
 
-    /// Whether what is believed is not older than a suspension of the machine.
+    /// Whether this node is up to date since the last suspension, or has waited long enough.
     pub fn caught_up(&self) -> bool {
-        lock(&self.woken).is_none_or(|at| self.now().since(at) >= UNSURE)
+        lock(&self.resumed_at).is_none_or(|at| self.now().since(at) >= RESUME_GRACE_MS)
     }
 
-    /// Connections that this node may have at one endpoint of a service.
+    /// This node's share of the connection cap of an endpoint of a service.
     pub fn connections(&self, service: &str) -> u32 {
         let table = self.table();
-        let cap = table.as_ref().and_then(|it| it.services.get(service)?.connections);
+        let cap = table.as_ref().and_then(|table| table.services.get(service)?.connections);
         let (_, nodes) = lock(&self.members).seen(self.now());
-        cap.map_or(u32::MAX, |it| connections::part(it, nodes))
+        cap.map_or(u32::MAX, |cap| connections::part(cap, nodes))
     }
 
-    /// Counts a request for a service.
+    /// Adds a request to the retry budget of a service.
     pub fn count_request(&self, service: &str) {
         lock(&self.allowance).request(service, self.now());
     }
 
-    /// Takes a repeat for a service from the retry budget.
+    /// Takes a retry from the retry budget of a service; false if the budget is used up.
     pub fn take_repeat(&self, service: &str) -> bool {
         let members = lock(&self.members).count(self.now());
         lock(&self.allowance).take(service, members, self.now())
     }
 
-    /// Time that a caller of a route with this patience spent on earlier tries, in milliseconds.
+    /// Estimate of the time that a caller spent on earlier attempts, in milliseconds, from the time
+    /// that it still has and what other callers of the route have.
     pub fn spent(&self, route: &str, patience: Duration) -> u64 {
         let patience = patience.as_millis() as u64;
         let mut routes = lock(&self.patience);
         routes.entry(route.to_owned()).or_default().spent(patience, self.now())
     }
 
-    /// Notes that the store answered, for the first time since a failure if `returned`.
-    pub fn store_answered(&self, returned: bool) {
+    /// Records that the store answered; `recovered` if the call before failed.
+    pub fn store_answered(&self, recovered: bool) {
         let now = self.now();
         if !self.fed() {
-            // Those who would read in its place need not.
+            // Nodes that would take over reading need not.
             self.changed.notify_one();
         }
-        *lock(&self.store_read) = Some(now);
+        *lock(&self.store_read_at) = Some(now);
         self.store_lost.store(false, Ordering::Relaxed);
         self.refreshed();
-        if returned {
-            *lock(&self.store_back) = now;
+        if recovered {
+            *lock(&self.store_recovered_at) = now;
         }
     }
 
-    /// Notes that the store failed.
+    /// Records a failed read of a topic.
     pub fn store_failed(&self, topic: Topic) {
-        if lock(&self.store_read).take().is_some() {
+        if lock(&self.store_read_at).take().is_some() {
             self.changed.notify_one();
         }
         self.store_lost.store(true, Ordering::Relaxed);
         self.meter.store_failed(topic.name());
     }
 
-    /// Time since the store returned, in milliseconds, while records that lapsed may still come back.
+    /// Time since the store recovered, in milliseconds, while endpoints may still rewrite expired
+    /// records.
     pub fn returned(&self) -> Option<u64> {
-        let back = *lock(&self.store_back);
-        let ago = self.now().since(back);
-        (back > Millis::default() && ago < LAPSE_WINDOW).then_some(ago)
+        let recovered_at = *lock(&self.store_recovered_at);
+        let ago_ms = self.now().since(recovered_at);
+        (recovered_at > Millis::default() && ago_ms < EXPIRY_GRACE_MS).then_some(ago_ms)
     }
 
-    /// Notes that the store returned to another node so long ago: this one may not have asked it.
-    pub fn hear_returned(&self, ago: u64) {
-        let at = self.now() - ago;
-        let mut back = lock(&self.store_back);
-        *back = (*back).max(at);
+    /// Records that the store recovered for another node, which is possibly the only one that
+    /// called it.
+    pub fn hear_returned(&self, ago_ms: u64) {
+        let recovered_at = self.now() - ago_ms;
+        let mut latest = lock(&self.store_recovered_at);
+        *latest = (*latest).max(recovered_at);
     }
 
-    /// Whether this node reads the store, and the store answers.
+    /// Whether this node read the store successfully a short time ago.
     pub fn fed(&self) -> bool {
-        lock(&self.store_read).is_some_and(|at| self.now().since(at) < FED)
+        lock(&self.store_read_at).is_some_and(|at| self.now().since(at) < STORE_FRESH_MS)
     }
 
     /// Whether the last call to the store failed.
@@ -384,18 +390,18 @@
         self.store_lost.load(Ordering::Relaxed)
     }
 
-    /// Whether the link has room to hand something large to another node.
+    /// Whether the bandwidth for transfers to other nodes allows another one.
     pub fn has_room(&self) -> bool {
-        lock(&self.pace).open(self.now())
+        lock(&self.peer_bandwidth).open(self.now())
     }
 
-    /// Counts bytes handed to another node.
+    /// Counts bytes sent to another node.
     pub fn count_told(&self, bytes: usize) {
-        lock(&self.pace).spend(bytes);
+        lock(&self.peer_bandwidth).spend(bytes);
         self.meter.told_bytes.inc_by(bytes as u64);
     }
 
-    /// Puts in force what changed in the mirror.
+    /// Applies what changed in the replica of the store.
     pub fn apply(&self, change: Change, source: &'static str) {
         if change.configuration {
             self.apply_configuration(source);
@@ -409,7 +415,7 @@
     }
 
     fn apply_configuration(&self, source: &'static str) {
-        let decoded = self.mirror().configuration().map(|it| configuration::decode(it));
+        let decoded = self.mirror().configuration().map(|text| configuration::decode(text));
         let table = match decoded {
             None => return,
             Some(Ok(table)) => table,
@@ -418,16 +424,16 @@
                 return;
             }
         };
-        let mut held = lock(&self.table);
-        let before = held.as_ref().map_or(0, |it| it.version);
-        if held.is_some() && table.version <= before {
+        let mut current = lock(&self.table);
+        let before = current.as_ref().map_or(0, |table| table.version);
+        if current.is_some() && table.version <= before {
             return;
         }
         info!(version = table.version, before, source; "{}", event::CONFIGURATION);
         self.meter.version.set(table.version.cast_signed());
-        *held = Some(Arc::new(table));
-        drop(held);
-        self.in_force.notify_waiters();
+        *current = Some(Arc::new(table));
+        drop(current);
+        self.configuration_applied.notify_waiters();
     }
 
     fn apply_endpoints(&self, source: &'static str) {
@@ -442,13 +448,13 @@
             warn!(why:% = error; "{}", event::SKIPPED);
         }
         let now = self.now();
-        let lapsed = self.returned().is_some();
+        let recovering = self.returned().is_some();
         let mut pool = self.pool();
-        let draining = endpoints.iter().filter(|it| it.draining).count();
+        let draining = endpoints.iter().filter(|endpoint| endpoint.draining).count();
         let missing = pool.len().saturating_sub(endpoints.len());
-        let lenient = lapsed || missing * MASS_LAPSE > pool.len();
-        let prefill = endpoints.iter().filter(|it| it.stage == Stage::Prefill).count();
-        let decode = endpoints.iter().filter(|it| it.stage == Stage::Decode).count();
+        let lenient = recovering || missing * MASS_EXPIRY_DIVISOR > pool.len();
+        let prefill = endpoints.iter().filter(|endpoint| endpoint.stage == Stage::Prefill).count();
+        let decode = endpoints.iter().filter(|endpoint| endpoint.stage == Stage::Decode).count();
         let listed = endpoints.len();
         info!(offset = end, listed, prefill, decode, draining, lenient, source; "{}", event::ENDPOINTS);
         pool.replace(endpoints, lenient, now);
@@ -456,7 +462,8 @@
     }
 }
 
-/// Locks; what a panic left behind is used as it is, since every change is a single step.
+/// Locks a mutex. A poisoned one is used as it is, since every change under a lock is a single
+/// step.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gateway/src/pause.rs
+++ b/crates/gateway/src/pause.rs
@@ -1,8 +1,9 @@
-//! Notices that the machine was suspended.
+//! Detects that the machine was suspended.
 //!
-//! Timers and `Instant` leave a suspension out; `node.now()` counts it. This is the one place that compares
-//! them. A process that stood still while the machine went on, by a signal or for want of processor time,
-//! finds its timers due and its reads answered, so it needs nothing besides.
+//! Timers and `Instant` don't count the time of a suspension, while `node.now()` does. Only this
+//! module compares the two. A process that was stopped by a signal, or got no processor time, while
+//! the machine kept running needs no such detection: its timers are due and the answers to its
+//! reads have arrived when it continues.
 
 use crate::event;
 use crate::node::Node;
@@ -11,23 +12,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time between looks: a small part of what a suspension lasts.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval of the checks: short compared to a suspension.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least difference between the clocks that counts as a suspension, in milliseconds: two heartbeats. What is
-/// believed may be that old at any time.
-const LEAST: u64 = 500;
+/// Minimum difference between the clocks that counts as a suspension, in milliseconds: two
+/// heartbeats. The state of a node may be that old at any time.
+const MIN_SUSPENSION_MS: u64 = 500;
 
-/// Compares the clocks for good.
+/// Compares the clocks forever.
 pub async fn watch(node: Arc<Node>) {
-    let mut before = (node.now(), Instant::now());
+    let mut previous = (node.now(), Instant::now());
     loop {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let now = (node.now(), Instant::now());
-        let awake = (now.1 - before.1).as_millis() as u64;
-        let for_ms = now.0.since(before.0).saturating_sub(awake);
-        before = now;
-        if for_ms >= LEAST {
+        let running_ms = (now.1 - previous.1).as_millis() as u64;
+        let for_ms = now.0.since(previous.0).saturating_sub(running_ms);
+        previous = now;
+        if for_ms >= MIN_SUSPENSION_MS {
             warn!(for_ms; "{}", event::SUSPENDED);
             node.wake();
         }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,14 +1,15 @@
-//! What nodes tell each other: heartbeats by UDP, and what the store holds by tarpc when one is behind.
+//! Messages between nodes: heartbeats by UDP, and data of the store by tarpc for nodes that are
+//! behind.
 //!
-//! A heartbeat says how far its sender has read the store and what it has at endpoints. A node that
-//! learns of something newer, and does not read it from the store itself at once, pulls it from
-//! the sender. So few nodes need to read, and those that the store turns away follow the others.
+//! A heartbeat holds the offsets up to which its sender has read the store, and its usage of
+//! endpoints. A node that receives higher offsets, and does not get the data from the store itself
+//! at once, pulls it from the sender. So only a few nodes need to read the store, and those that it
+//! rejects follow the others.
 //!
-//! Between heartbeats a node tells its near ones at once which requests came to an engine and left
-//! it, since a prefill is over before the next heartbeat.
+//! Between heartbeats a node tells near nodes at once which requests began and ended at an engine,
+//! since a prefill is over before the next heartbeat.
 //!
-//! Which nodes read follows from the heartbeats, without agreement: the first few of a failure domain
-//! by name, passing over those whose reads fail. Two that differ for a moment read both.
+//! `members` says which nodes read the store.
 
 use crate::event;
 use crate::history::{Piece, Wanted};
@@ -37,58 +38,59 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-/// Topic in which nodes leave their addresses.
-const NODES: &str = "keyed.nodes";
+/// Topic of the store in which nodes register their addresses.
+const ADDRESS_TOPIC: &str = "keyed.nodes";
 
-/// Heartbeats between those to silent nodes.
-const SILENT_EVERY: u64 = 8;
+/// Every n-th heartbeat goes to silent nodes too.
+const SILENT_EVERY_ROUNDS: u64 = 8;
 
-/// Pause before the store is asked again for the nodes' addresses: refused calls are priced. It doubles
-/// with each failure up to so often: hundreds of nodes may have started while the store is out.
-const ENLIST_PAUSE: Duration = Duration::from_millis(700);
-const ENLIST_DOUBLED: u32 = 3;
+/// Pause before the next attempt to register, since rejected calls have a price too. It doubles
+/// with each failure up to a maximum: hundreds of nodes may start during an outage of the store.
+const REGISTER_PAUSE: Duration = Duration::from_millis(700);
+const REGISTER_MAX_DOUBLINGS: u32 = 3;
 
-/// Pause after a failed receive, which would else be tried without end.
+/// Pause after a failed receive, which would otherwise be repeated in a busy loop.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time in which updates are gathered into one message: small against a prefill of 100 ms.
-const UPDATE_BATCH: Duration = Duration::from_millis(3);
+/// Time in which usage updates are gathered into one message: short compared to a prefill of 100
+/// ms.
+const UPDATE_GATHER_TIME: Duration = Duration::from_millis(3);
 
-/// Near nodes that are told of a configuration by each one that got it: the nodes
-/// that have it multiply with each round, while each has room on its link for a few.
-const NEWS_TO: usize = 8;
+/// Near nodes to which a node announces a configuration that it pulled. The number of nodes that
+/// have it multiplies with each round, while each needs link capacity for a few transfers only.
+const ANNOUNCE_FANOUT: usize = 8;
 
-/// Pause after limits were told: what changes meanwhile goes into one message, also when endpoints name another limit in
-/// each answer.
+/// Pause after a broadcast of limits. Changes in it go into one message, also if an endpoint
+/// announces another limit in each answer.
 const LIMITS_PAUSE: Duration = Duration::from_millis(20);
 
-/// Words in a datagram: some 100 bytes each.
-const WORDS: usize = 200;
+/// Entries in a datagram: some 100 bytes each.
+const DATAGRAM_ENTRIES: usize = 200;
 
-/// Least time between two questions for rulings, or for limits, in milliseconds: hundreds of nodes may know the same that this
-/// one lacks.
-const ASK_PAUSE: u64 = 300;
+/// Minimum time between two requests for all rulings, or for all limits, in milliseconds: hundreds
+/// of nodes may send a digest that differs from this node's.
+const ASK_PAUSE_MS: u64 = 300;
 
-/// Largest datagram.
-const DATAGRAM: usize = 60_000;
+/// Size of the largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Answer to a node that asks for what is newer.
+/// Answer to a node that asks for newer data.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Told<T> {
-    /// Some of it.
+    /// Part of the data.
     Some(T),
-    /// Enough was sent for now: others may have it too.
+    /// No bandwidth is left for now; another node may have some.
     Busy,
-    /// This node knows nothing newer.
+    /// This node has nothing newer.
     Nothing,
 }
 
-/// What nodes ask each other by tarpc.
+/// Calls between nodes by tarpc.
 #[tarpc::service]
 pub trait Peer {
-    /// Endpoints' records beyond an offset; of a list, those after a key.
+    /// Records of endpoints from an offset on; for the next page of a snapshot, those after a key.
     async fn endpoints(from: u64, after: Option<String>) -> Told<Part>;
-    /// The next piece of a newer configuration.
+    /// The next chunk of a newer configuration.
     async fn configuration(wanted: Wanted) -> Told<Piece>;
 }
 
@@ -99,7 +101,7 @@
     async fn endpoints(self, _: context::Context, from: u64, after: Option<String>) -> Told<Part> {
         let node = &self.0;
         let part = node.mirror().part(from, after.as_deref());
-        // A whole list is large; what was lacking a moment ago is told however busy the link is.
+        // Only snapshots are large. Recent changes are sent even without bandwidth left.
         if matches!(part, Part::Listed { .. }) && !node.has_room() {
             return Told::Busy;
         }
@@ -126,22 +128,22 @@
     }
 }
 
-/// Serves and follows other nodes for good.
+/// Exchanges state with the other nodes until the process ends.
 pub async fn run(node: Arc<Node>) -> io::Result<()> {
     let address = SocketAddr::new(node.settings.ip, node.settings.peer_port);
     let socket = Arc::new(UdpSocket::bind(address).await?);
-    // Set once: a node has one socket.
+    // Set only here: a node has one socket.
     let _ = node.socket.set(socket.clone());
     tokio::spawn(serve(node.clone(), address));
-    tokio::spawn(enlist(node.clone()));
-    tokio::spawn(tell(node.clone(), socket.clone()));
-    tokio::spawn(tell_updates(node.clone(), socket.clone()));
-    tokio::spawn(tell_news(node.clone(), socket.clone()));
-    tokio::spawn(tell_words(node.clone(), socket.clone()));
-    tokio::spawn(tell_limits(node.clone(), socket.clone()));
+    tokio::spawn(register_address(node.clone()));
+    tokio::spawn(send_heartbeats(node.clone(), socket.clone()));
+    tokio::spawn(send_usage_updates(node.clone(), socket.clone()));
+    tokio::spawn(announce_configuration(node.clone(), socket.clone()));
+    tokio::spawn(broadcast_suspicions(node.clone(), socket.clone()));
+    tokio::spawn(broadcast_limits(node.clone(), socket.clone()));
     tokio::spawn(pull::follow_endpoints(node.clone()));
     tokio::spawn(pull::follow_configuration(node.clone()));
-    listen(node, socket).await
+    receive(node, socket).await
 }
 
 async fn serve(node: Arc<Node>, address: SocketAddr) {
@@ -152,7 +154,7 @@
             return;
         }
     };
-    let accepted = listener.filter_map(|it| async { it.ok() });
+    let accepted = listener.filter_map(|channel| async { channel.ok() });
     let channels = accepted.map(BaseChannel::with_defaults);
     channels
         .for_each(|channel| async {
@@ -164,8 +166,8 @@
         .await;
 }
 
-/// Leaves this node's address in the store and reads the others'.
-async fn enlist(node: Arc<Node>) {
+/// Registers this node's address in the store, and reads those of the others.
+async fn register_address(node: Arc<Node>) {
     let mut client = Client::new(node.settings.store);
     let value = node.settings.ip.to_string();
     let mut appended = false;
@@ -173,32 +175,32 @@
     loop {
         let result = async {
             if !appended {
-                client.append(NODES, &node.settings.vm, value.as_bytes(), None).await?;
+                client.append(ADDRESS_TOPIC, &node.settings.vm, value.as_bytes(), None).await?;
                 appended = true;
             }
-            client.newest(NODES).await
+            client.newest(ADDRESS_TOPIC).await
         };
         match result.await {
             Ok(page) => {
-                let values = page.records.iter().filter_map(|it| it.value.as_deref());
-                let texts = values.filter_map(|it| std::str::from_utf8(it).ok());
+                let values = page.records.iter().filter_map(|record| record.value.as_deref());
+                let texts = values.filter_map(|value| std::str::from_utf8(value).ok());
                 let mut members = lock(&node.members);
-                texts.filter_map(|it| it.parse().ok()).for_each(|ip| members.add(ip));
+                texts.filter_map(|text| text.parse().ok()).for_each(|ip| members.add(ip));
                 drop(members);
                 node.changed.notify_one();
                 return;
             }
             Err(error) => {
-                debug!("addresses of nodes: {error}");
-                sleep(ENLIST_PAUSE * (1 << failures.min(ENLIST_DOUBLED))).await;
+                debug!("registering this node's address failed: {error}");
+                sleep(REGISTER_PAUSE * (1 << failures.min(REGISTER_MAX_DOUBLINGS))).await;
                 failures += 1;
             }
         }
     }
 }
 
-/// What this node tells now.
-fn heartbeat(node: &Node) -> Heartbeat {
+/// Builds a heartbeat with the current state.
+fn current_heartbeat(node: &Node) -> Heartbeat {
     let now = node.now();
     let ends = node.mirror().ends();
     let limits = node.limits().digest();
@@ -220,12 +222,12 @@
     }
 }
 
-async fn tell(node: Arc<Node>, socket: Arc<UdpSocket>) {
+async fn send_heartbeats(node: Arc<Node>, socket: Arc<UdpSocket>) {
     let mut round = 0_u64;
     let mut changed = true;
     loop {
         let now = node.now();
-        let heartbeat = heartbeat(&node);
+        let heartbeat = current_heartbeat(&node);
         let addresses = {
             let mut members = lock(&node.members);
             let scope = if members.take_found() { Scope::All } else { scope(round, changed) };
@@ -233,28 +235,28 @@
         };
         node.meter.peers.set(lock(&node.members).addresses(Scope::Live, now).len() as i64);
         send(&node, &socket, &Message::Heartbeat(heartbeat), &addresses).await;
-        tell_rulings(&node, &socket, &addresses).await;
+        send_rulings_digest(&node, &socket, &addresses).await;
         round += 1;
-        // A change is told at once.
+        // A change ends the wait early.
         let interval = Duration::from_millis(lock(&node.members).interval().near);
         changed = timeout(interval, node.changed.notified()).await.is_ok();
     }
 }
 
-/// Who gets a heartbeat.
+/// Scope of a heartbeat.
 fn scope(round: u64, changed: bool) -> Scope {
     match round {
-        round if round.is_multiple_of(SILENT_EVERY) => Scope::All,
+        round if round.is_multiple_of(SILENT_EVERY_ROUNDS) => Scope::All,
         round if changed || round.is_multiple_of(FAR_EVERY) => Scope::Live,
         _ => Scope::Near,
     }
 }
 
-/// Tells near nodes of requests that came to engines and left them.
-async fn tell_updates(node: Arc<Node>, socket: Arc<UdpSocket>) {
+/// Sends usage updates to near nodes when requests begin or end at engines.
+async fn send_usage_updates(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.updated.notified().await;
-        sleep(UPDATE_BATCH).await;
+        sleep(UPDATE_GATHER_TIME).await;
         let addresses = lock(&node.members).addresses(Scope::Near, node.now());
         let usage = node.pool().updates(node.now());
         if !usage.is_empty() {
@@ -263,51 +265,53 @@
     }
 }
 
-/// Tells some near nodes of a configuration that came from another node, so that those who lack it have
-/// more than the few that read the store to ask.
-async fn tell_news(node: Arc<Node>, socket: Arc<UdpSocket>) {
+/// Announces a pulled configuration to some near nodes, so that nodes without it can pull it from
+/// more nodes than the few readers of the store.
+async fn announce_configuration(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.gained.notified().await;
         let near = lock(&node.members).addresses(Scope::Near, node.now());
-        let some: Vec<_> = near.choose_multiple(&mut rand::rng(), NEWS_TO).copied().collect();
+        let chosen: Vec<_> =
+            near.choose_multiple(&mut rand::rng(), ANNOUNCE_FANOUT).copied().collect();
         let ends = node.mirror().ends();
-        send(&node, &socket, &Message::News { ends }, &some).await;
+        send(&node, &socket, &Message::News { ends }, &chosen).await;
     }
 }
 
-/// Tells all others at once of requests under which endpoints ended: copies may come to any node, and the
-/// rest is decided by who knows first.
-async fn tell_words(node: Arc<Node>, socket: Arc<UdpSocket>) {
+/// Broadcasts suspicions about requests that may crash endpoints. Copies of such a request may
+/// arrive at any node, and each further one can crash an endpoint until that node has the
+/// suspicion.
+async fn broadcast_suspicions(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.suspected.notified().await;
-        let words = node.quarantine().words();
+        let suspicions = node.quarantine().words();
         let addresses = lock(&node.members).addresses(Scope::Live, node.now());
-        send_words(&node, &socket, words, &addresses).await;
+        send_suspicions(&node, &socket, suspicions, &addresses).await;
     }
 }
 
-async fn send_words(
+async fn send_suspicions(
     node: &Node,
     socket: &UdpSocket,
-    words: Vec<(Fingerprint, Word)>,
+    suspicions: Vec<(Fingerprint, Word)>,
     addresses: &[IpAddr],
 ) {
-    for words in words.chunks(WORDS) {
-        let message = Message::Words { vm: node.tag(), words: words.to_vec() };
+    for chunk in suspicions.chunks(DATAGRAM_ENTRIES) {
+        let message = Message::Words { vm: node.tag(), words: chunk.to_vec() };
         send(node, socket, &message, addresses).await;
     }
 }
 
-/// Tells others at once of limits that endpoints begin to name, change or no longer name.
-async fn tell_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
+/// Broadcasts rate limits that endpoints announced, changed or withdrew.
+async fn broadcast_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.limited.notified().await;
-        let news = node.limits().news();
+        let changes = node.limits().news();
         let live = lock(&node.members).addresses(Scope::Live, node.now());
-        send_limits(&node, &socket, news.all, &live).await;
-        for (endpoint, word) in news.owners {
+        send_limits(&node, &socket, changes.all, &live).await;
+        for (endpoint, limit) in changes.owners {
             let owners = lock(&node.members).owners(endpoint, node.now());
-            send_limits(&node, &socket, vec![(endpoint, word)], &owners).await;
+            send_limits(&node, &socket, vec![(endpoint, limit)], &owners).await;
         }
         sleep(LIMITS_PAUSE).await;
     }
@@ -316,36 +320,37 @@
 async fn send_limits(
     node: &Node,
     socket: &UdpSocket,
-    words: Vec<(Tag, limits::Word)>,
+    entries: Vec<(Tag, limits::Word)>,
     addresses: &[IpAddr],
 ) {
-    for words in words.chunks(WORDS) {
-        send(node, socket, &Message::Limits { words: words.to_vec() }, addresses).await;
+    for chunk in entries.chunks(DATAGRAM_ENTRIES) {
+        send(node, socket, &Message::Limits { words: chunk.to_vec() }, addresses).await;
     }
 }
 
-/// Tells which rulings this node knows, if any, so that whoever missed one asks for it.
-async fn tell_rulings(node: &Node, socket: &UdpSocket, addresses: &[IpAddr]) {
+/// Sends the digest of the rulings, if there are any. A node with another digest asks for them.
+async fn send_rulings_digest(node: &Node, socket: &UdpSocket, addresses: &[IpAddr]) {
     let digest = node.quarantine().digest();
     if digest != 0 {
         send(node, socket, &Message::Rulings { digest }, addresses).await;
     }
 }
 
-/// Tells a node what is held against requests that are not ruled on, if this node is one of the few of its failure domain
-/// that read.
-async fn tell_suspects(node: &Node, socket: &UdpSocket, to: IpAddr) {
+/// Sends a node the suspicions that have no ruling yet, if this node is a reader of the store in
+/// its failure domain.
+async fn send_unruled_suspicions(node: &Node, socket: &UdpSocket, to: IpAddr) {
     if lock(&node.members).reads(node.now()) {
-        let words = node.quarantine().known();
-        send_words(node, socket, words, &[to]).await;
+        let suspicions = node.quarantine().known();
+        send_suspicions(node, socket, suspicions, &[to]).await;
     }
 }
 
-/// Sends all rulings to a node that asks for them.
+/// Sends all rulings to a node that asked for them.
 async fn send_rulings(node: &Node, socket: &UdpSocket, to: IpAddr) {
     let rulings: Vec<_> = node.quarantine().rulings().collect();
-    let words = rulings.into_iter().map(|(it, ruling)| (it, Word::Ruled(ruling))).collect();
-    send_words(node, socket, words, &[to]).await;
+    let suspicions =
+        rulings.into_iter().map(|(request, ruling)| (request, Word::Ruled(ruling))).collect();
+    send_suspicions(node, socket, suspicions, &[to]).await;
 }
 
 async fn send(node: &Node, socket: &UdpSocket, message: &Message, addresses: &[IpAddr]) {
@@ -357,14 +362,16 @@
         }
     };
     for ip in addresses {
-        // A lost message is made good by the next heartbeat; a node cut off gives an error each time.
+        // The next heartbeat makes up for a lost message; a node that can't be reached gives an
+        // error each time.
         if let Err(error) = socket.send_to(&bytes, (*ip, node.settings.peer_port)).await {
-            debug!("message to {ip}: {error}");
+            debug!("sending to {ip} failed: {error}");
         }
     }
 }
 
-/// Sends a small message at once, or not at all: whoever waits for an answer does not wait for long.
+/// Sends a small message without waiting, or drops it: requests with a deadline wait for its
+/// answer.
 pub fn post(node: &Node, message: &Message, to: IpAddr) {
     let Some(socket) = node.socket.get() else {
         return;
@@ -372,32 +379,32 @@
     match bincode::serialize(message) {
         Ok(bytes) => {
             if let Err(error) = socket.try_send_to(&bytes, (to, node.settings.peer_port).into()) {
-                debug!("message to {to}: {error}");
+                debug!("sending to {to} failed: {error}");
             }
         }
         Err(error) => warn!(why:% = error; "{}", event::SKIPPED),
     }
 }
 
-async fn listen(node: Arc<Node>, socket: Arc<UdpSocket>) -> io::Result<()> {
-    let mut buffer = vec![0; DATAGRAM];
-    let mut asked = None;
-    let mut limits_asked = None;
+async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) -> io::Result<()> {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    let mut rulings_last_asked = None;
+    let mut limits_last_asked = None;
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                debug!("heartbeats: {error}");
+                debug!("receiving failed: {error}");
                 sleep(RECEIVE_PAUSE).await;
                 continue;
             }
         };
         match bincode::deserialize(&buffer[..length]) {
-            Ok(Message::Heartbeat(heard)) => {
-                let differs = heard.limits != node.limits().digest();
-                hear(&node, &socket, from.ip(), heard).await;
-                let pause = limits_pause(&node);
-                if differs && due(&mut limits_asked, pause, node.now()) {
+            Ok(Message::Heartbeat(heartbeat)) => {
+                let differs = heartbeat.limits != node.limits().digest();
+                handle_heartbeat(&node, &socket, from.ip(), heartbeat).await;
+                let pause_ms = limits_ask_pause_ms(&node);
+                if differs && is_due(&mut limits_last_asked, pause_ms, node.now()) {
                     send(&node, &socket, &Message::LimitsWanted, &[from.ip()]).await;
                 }
             }
@@ -408,7 +415,9 @@
             }
             Ok(Message::Words { vm, words }) => quarantine::hear(&node, vm, words),
             Ok(Message::Rulings { digest }) => {
-                if digest != node.quarantine().digest() && due(&mut asked, ASK_PAUSE, node.now()) {
+                if digest != node.quarantine().digest()
+                    && is_due(&mut rulings_last_asked, ASK_PAUSE_MS, node.now())
+                {
                     send(&node, &socket, &Message::RulingsWanted, &[from.ip()]).await;
                 }
             }
@@ -432,48 +441,49 @@
             }
             Ok(Message::RulingsWanted) => {
                 send_rulings(&node, &socket, from.ip()).await;
-                tell_suspects(&node, &socket, from.ip()).await;
+                send_unruled_suspicions(&node, &socket, from.ip()).await;
             }
             Err(error) => warn!(from:% = from, why:% = error; "{}", event::SKIPPED),
         }
     }
 }
 
-/// Time between two questions for limits, in milliseconds. In a large fleet some endpoint begins or ceases to name one at any
-/// time, so that nodes hardly ever agree; what a node lacks, it also learns from answers and from owners.
-fn limits_pause(node: &Node) -> u64 {
-    ASK_PAUSE.max(2 * lock(&node.members).interval().near)
+/// Minimum time between two requests for all limits, in milliseconds. In a large fleet endpoints
+/// begin and cease to announce limits all the time, so the digests of two nodes are rarely equal. A
+/// node also learns limits from answers of endpoints and from the owners.
+fn limits_ask_pause_ms(node: &Node) -> u64 {
+    ASK_PAUSE_MS.max(2 * lock(&node.members).interval().near)
 }
 
-/// Whether it is time to ask again for what this node lacks.
-fn due(asked: &mut Option<Millis>, pause: u64, now: Millis) -> bool {
-    let due = asked.is_none_or(|at| now.since(at) >= pause);
+/// Whether enough time has passed to ask again.
+fn is_due(last_asked: &mut Option<Millis>, pause_ms: u64, now: Millis) -> bool {
+    let due = last_asked.is_none_or(|at| now.since(at) >= pause_ms);
     if due {
-        *asked = Some(now);
+        *last_asked = Some(now);
     }
     due
 }
 
-/// Takes a heartbeat; one that is new to this node hears of it at once.
-async fn hear(node: &Node, socket: &UdpSocket, from: IpAddr, heard: Heartbeat) {
-    let word = lock(&node.members).hear(from, &heard, node.now());
-    if let Some(ago) = heard.returned {
-        node.hear_returned(ago);
+/// Handles a heartbeat; a node that was silent before gets one in return at once.
+async fn handle_heartbeat(node: &Node, socket: &UdpSocket, from: IpAddr, heartbeat: Heartbeat) {
+    let receipt = lock(&node.members).hear(from, &heartbeat, node.now());
+    if let Some(ago_ms) = heartbeat.returned {
+        node.hear_returned(ago_ms);
     }
-    node.hear_of(heard.ends);
+    node.hear_of(heartbeat.ends);
     if !node.behind(Topic::Operators) && !node.behind(Topic::Endpoints) {
         node.refreshed();
     }
     {
         let mut pool = node.pool();
-        pool.hear(Tag::of(&heard.vm), heard.usage, word.until);
-        pool.hear_changing(&heard.changing, word.until);
+        pool.hear(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.until);
+        pool.hear_changing(&heartbeat.changing, receipt.until);
     }
-    if word.newcomer {
-        send(node, socket, &Message::Heartbeat(heartbeat(node)), &[from]).await;
-        tell_rulings(node, socket, &[from]).await;
-        // One that has just started, or this one, may lack what is held against requests.
-        tell_suspects(node, socket, from).await;
+    if receipt.newcomer {
+        send(node, socket, &Message::Heartbeat(current_heartbeat(node)), &[from]).await;
+        send_rulings_digest(node, socket, &[from]).await;
+        // Either node may just have started and lack suspicions and rulings.
+        send_unruled_suspicions(node, socket, from).await;
         send(node, socket, &Message::RulingsWanted, &[from]).await;
     }
 }
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -1,10 +1,11 @@
-//! Takes from other nodes what they know of the store and this one does not.
+//! Pulls data of the store that other nodes have and this one lacks.
 //!
-//! Endpoints' records and the configuration are pulled apart, so that an endpoint's leaving never
-//! waits behind a large configuration. Both come in pieces with a time limit each: a transfer that
-//! goes on is never given up, however long it takes, and one that stalls is taken up at another node
-//! from where it was. With one limit of a second for all, two versions of 0.5 MB never arrived over
-//! 10 Mbit/s, and nodes kept older routes for good.
+//! Records of endpoints and the configuration are pulled independently, so the notice that an
+//! endpoint leaves never waits behind a large configuration. Both come in small parts with a time
+//! limit each. A transfer that makes progress is never given up, however long it takes, and a
+//! stalled one continues at another node where it stopped. With a single limit of 1 s for the whole
+//! transfer, two versions of 0.5 MB never arrived over 10 Mbit/s, and nodes kept old routes
+//! forever.
 
 use crate::event;
 use crate::history::Download;
@@ -25,52 +26,54 @@
 use tarpc::{client, context};
 use tokio::time::{sleep, timeout};
 
-/// Time given to the store to bring what another node told of, before it is pulled from there.
-const OWN_READ: Duration = Duration::from_millis(120);
+/// Time that this node's own read of the store gets before newer data is pulled from another node.
+const STORE_HEAD_START: Duration = Duration::from_millis(120);
 
-/// Time for a connection, and for each answer: 27 times what a piece takes on a link of 10 Mbit/s, and
-/// short enough to ask three nodes within the 3 s in which a change is to be in force.
-const ANSWER: Duration = Duration::from_millis(700);
+/// Timeout for connecting, and for each answer: 27 times the time of a chunk on a 10 Mbit/s link,
+/// and short enough to ask three nodes within the 3 s in which a change must be in force.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause after a failed pull, which would else be tried without end.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed pull, which would otherwise be repeated in a busy loop.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pauses after a node said that its link is busy, in milliseconds: about as long as it takes to send
-/// what made it so. Drawn, so that those sent away do not meet again.
-const BUSY: Range<u64> = 30..120;
+/// Range of the random pause after another node had no bandwidth left, in milliseconds: about the
+/// time that the transfers which filled its link take. Random, so that the rejected nodes don't all
+/// come back at once.
+const BUSY_PAUSE_MS: Range<u64> = 30..120;
 
-/// How often these pauses double while others go on being busy: up to 1 s, so that hundreds of nodes that start
-/// at once do not keep the first ones from serving.
-const DOUBLED: u32 = 3;
+/// How often this pause doubles while nodes have no bandwidth: up to 1 s, so that hundreds of nodes
+/// that start at once don't keep the first ones from serving callers.
+const BUSY_MAX_DOUBLINGS: u32 = 3;
 
-/// Time given to the store while a node knows nothing of a topic: longer, since it brings all there is.
-const FIRST_READ: Duration = Duration::from_millis(400);
+/// The same while this node has nothing of a topic: longer, since the store returns everything at
+/// once.
+const FIRST_STORE_HEAD_START: Duration = Duration::from_millis(400);
 
-/// Name of the source in logs of what came from another node.
-const PEER: &str = "peer";
+/// Log name of another node as the source of a change.
+const PEER_SOURCE: &str = "peer";
 
-/// How a pull ended that did not fail.
+/// Outcome of a pull without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// Nothing more is lacking.
+    /// This node has caught up.
     Complete,
-    /// The other node knows no more, while a third one does.
+    /// The other node has nothing newer, while a third one has.
     Exhausted,
-    /// The other node has no room on its link.
+    /// The other node has no bandwidth left.
     Busy,
 }
 
-/// One pull from another node.
+/// A pull from another node.
 struct Pull<'a> {
     node: &'a Node,
     topic: Topic,
     from: IpAddr,
-    /// Offset up to which the topic was known before.
+    /// Offset up to which this node had the topic before.
     known: u64,
-    /// Offset up to which some node knows it.
+    /// Highest offset of the topic that any node has announced.
     told: u64,
     began: Millis,
-    pieces: usize,
+    parts: usize,
     bytes: usize,
 }
 
@@ -78,33 +81,33 @@
     fn new(node: &'a Node, topic: Topic, from: IpAddr) -> Self {
         let known = node.mirror().ends().of(topic);
         let told = node.told.borrow().of(topic);
-        Self { node, topic, from, known, told, began: node.now(), pieces: 0, bytes: 0 }
+        Self { node, topic, from, known, told, began: node.now(), parts: 0, bytes: 0 }
     }
 
     async fn connect(&self) -> io::Result<PeerClient> {
         let address = SocketAddr::new(self.from, self.node.settings.peer_port);
         let connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
-        let transport = timeout(ANSWER, connecting).await??;
+        let transport = timeout(CALL_TIMEOUT, connecting).await??;
         Ok(PeerClient::new(client::Config::default(), transport).spawn())
     }
 
-    /// Offset up to which the topic is known now.
-    fn now(&self) -> u64 {
+    /// Offset up to which this node has the topic now.
+    fn current_offset(&self) -> u64 {
         self.node.mirror().ends().of(self.topic)
     }
 
-    fn came(&mut self, bytes: usize) {
-        self.pieces += 1;
+    fn count_part(&mut self, bytes: usize) {
+        self.parts += 1;
         self.bytes += bytes;
     }
 
-    /// Logs and counts how it ended, and waits before the next one if there is no use in it yet. Takes and
-    /// gives how often in a row others were busy.
-    async fn ended(self, result: io::Result<Outcome>, turned_away: u32) -> u32 {
+    /// Logs and counts the outcome, and waits if the next pull can't succeed yet. Takes and returns
+    /// the number of consecutive pulls that ended at busy nodes.
+    async fn finish(self, result: io::Result<Outcome>, busy_in_a_row: u32) -> u32 {
         let took_ms = self.node.now().since(self.began);
         Meter::time(&self.node.meter.pull, Duration::from_millis(took_ms));
-        let now = self.now();
-        let Self { node, topic, from, known, told, pieces, bytes, .. } = self;
+        let now = self.current_offset();
+        let Self { node, topic, from, known, told, parts: pieces, bytes, .. } = self;
         let topic = topic.name();
         match &result {
             Ok(outcome) => {
@@ -117,11 +120,14 @@
         }
         match result {
             Ok(Outcome::Busy) => {
-                sleep(drawn(BUSY) * (1 << turned_away.min(DOUBLED))).await;
-                return turned_away + 1;
+                sleep(
+                    random_duration(BUSY_PAUSE_MS) * (1 << busy_in_a_row.min(BUSY_MAX_DOUBLINGS)),
+                )
+                .await;
+                return busy_in_a_row + 1;
             }
             Ok(_) if now > known => {}
-            Ok(_) | Err(_) => sleep(PAUSE).await,
+            Ok(_) | Err(_) => sleep(RETRY_PAUSE).await,
         }
         0
     }
@@ -129,18 +135,18 @@
     async fn endpoints(&mut self, list: &mut List) -> io::Result<Outcome> {
         let peer = self.connect().await?;
         loop {
-            let known = self.now();
+            let known = self.current_offset();
             if known >= self.told {
                 *list = List::default();
                 return Ok(Outcome::Complete);
             }
-            let asked = peer.endpoints(context::current(), known, list.after().cloned());
-            let part = match timeout(ANSWER, asked).await?.map_err(io::Error::other)? {
+            let call = peer.endpoints(context::current(), known, list.after().cloned());
+            let part = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
                 Told::Some(part) => part,
                 Told::Busy => return Ok(Outcome::Busy),
                 Told::Nothing => return Ok(Outcome::Exhausted),
             };
-            self.came(part.len());
+            self.count_part(part.len());
             let change = match part {
                 Part::Recent { entries, end } => self.node.mirror().merge_recent(entries, end),
                 Part::Listed { entries, end, next } => match list.add(entries, end, next) {
@@ -148,8 +154,8 @@
                     None => continue,
                 },
             };
-            self.node.apply(change, PEER);
-            if self.now() == known {
+            self.node.apply(change, PEER_SOURCE);
+            if self.current_offset() == known {
                 return Ok(Outcome::Exhausted);
             }
         }
@@ -158,103 +164,105 @@
     async fn configuration(&mut self, download: &mut Download) -> io::Result<Outcome> {
         let peer = self.connect().await?;
         loop {
-            let held = self.now();
+            let held = self.current_offset();
             if held >= self.told {
                 return Ok(Outcome::Complete);
             }
-            let asked = peer.configuration(context::current(), download.wanted(held));
-            let piece = match timeout(ANSWER, asked).await?.map_err(io::Error::other)? {
+            let call = peer.configuration(context::current(), download.wanted(held));
+            let piece = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
                 Told::Some(piece) => piece,
                 Told::Busy => return Ok(Outcome::Busy),
                 Told::Nothing => return Ok(Outcome::Exhausted),
             };
-            self.came(piece.len());
+            self.count_part(piece.len());
             if let Some(step) = download.take(piece) {
-                let taken = self.node.mirror().take_step(step);
-                let change = taken.inspect_err(|_| download.distrust())?;
-                self.node.apply(change, PEER);
+                let merged = self.node.mirror().take_step(step);
+                let change = merged.inspect_err(|_| download.distrust())?;
+                self.node.apply(change, PEER_SOURCE);
                 self.node.gained.notify_one();
             }
         }
     }
 }
 
-/// Keeps up with endpoints' records for good.
+/// Pulls records of endpoints whenever this node is behind, forever.
 pub async fn follow_endpoints(node: Arc<Node>) {
     let topic = Topic::Endpoints;
     let mut list = List::default();
     let mut failed = None;
-    let mut turned_away = 0;
+    let mut busy_in_a_row = 0;
     loop {
-        until_behind(&node, topic).await;
-        let Some(from) = source(&node, topic, failed.take()) else {
-            sleep(PAUSE).await;
+        wait_until_behind(&node, topic).await;
+        let Some(from) = choose_source(&node, topic, failed.take()) else {
+            sleep(RETRY_PAUSE).await;
             continue;
         };
         let mut pull = Pull::new(&node, topic, from);
         let result = pull.endpoints(&mut list).await;
         failed = result.is_err().then_some(from);
-        turned_away = pull.ended(result, turned_away).await;
+        busy_in_a_row = pull.finish(result, busy_in_a_row).await;
     }
 }
 
-/// Keeps up with the configuration for good.
+/// Pulls the configuration whenever this node is behind, forever.
 pub async fn follow_configuration(node: Arc<Node>) {
     let topic = Topic::Operators;
     let mut download = Download::default();
     let mut last = None;
     let mut failed = None;
-    let mut turned_away = 0;
+    let mut busy_in_a_row = 0;
     loop {
-        until_behind(&node, topic).await;
-        // Another node may know another step, so a part is gone on with where it came from.
-        let begun = last.filter(|_| download.begun());
-        let Some(from) = begun.or_else(|| source(&node, topic, failed.take())) else {
-            sleep(PAUSE).await;
+        wait_until_behind(&node, topic).await;
+        // Other nodes may offer another patch, so a download that has begun continues at the same
+        // node.
+        let resumed = last.filter(|_| download.begun());
+        let Some(from) = resumed.or_else(|| choose_source(&node, topic, failed.take())) else {
+            sleep(RETRY_PAUSE).await;
             continue;
         };
         let mut pull = Pull::new(&node, topic, from);
         let result = pull.configuration(&mut download).await;
         last = matches!(result, Ok(Outcome::Busy)).then_some(from);
         failed = result.is_err().then_some(from);
-        turned_away = pull.ended(result, turned_away).await;
+        busy_in_a_row = pull.finish(result, busy_in_a_row).await;
     }
 }
 
-/// Waits until another node told of something newer that the store has not brought meanwhile.
-async fn until_behind(node: &Node, topic: Topic) {
+/// Waits until another node announces newer data that the store has not returned in the time it
+/// gets.
+async fn wait_until_behind(node: &Node, topic: Topic) {
     let mut told = node.told.subscribe();
     loop {
         if node.behind(topic) {
-            sleep(own_read(node, topic)).await;
+            sleep(store_head_start(node, topic)).await;
         }
         if node.behind(topic) {
             return;
         }
-        // The sender is the node's own, so it stays.
+        // Never fails: the node owns the sender.
         let _ = told.changed().await;
     }
 }
 
-/// Time given to this node's own read of the store.
-fn own_read(node: &Node, topic: Topic) -> Duration {
-    let knows_nothing = node.mirror().ends().of(topic) == 0;
+/// Time that this node's own read of the store gets.
+fn store_head_start(node: &Node, topic: Topic) -> Duration {
+    let is_empty = node.mirror().ends().of(topic) == 0;
     match () {
         () if node.store_lost() => Duration::ZERO,
-        () if knows_nothing => FIRST_READ,
-        () if node.fed() => OWN_READ,
+        () if is_empty => FIRST_STORE_HEAD_START,
+        () if node.fed() => STORE_HEAD_START,
         () => Duration::ZERO,
     }
 }
 
-/// A node that knows more than this one, but for one that failed; of the own failure domain if there is
-/// one. Drawn, so that not all ask the same one.
-fn source(node: &Node, topic: Topic, failed: Option<IpAddr>) -> Option<IpAddr> {
+/// Chooses a random node with newer data, except for one that failed; one of this failure domain if
+/// possible. Random, so that not all nodes ask the same one.
+fn choose_source(node: &Node, topic: Topic, failed: Option<IpAddr>) -> Option<IpAddr> {
     let known = node.mirror().ends().of(topic);
-    let holders = lock(&node.members).holders(node.now(), failed, |it| it.of(topic) > known);
+    let holders = lock(&node.members).holders(node.now(), failed, |ends| ends.of(topic) > known);
     holders.choose(&mut rand::rng()).copied()
 }
 
-fn drawn(millis: Range<u64>) -> Duration {
-    Duration::from_millis(rand::rng().random_range(millis))
+fn random_duration(range_ms: Range<u64>) -> Duration {
+    Duration::from_millis(rand::rng().random_range(range_ms))
 }
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -1,8 +1,9 @@
-//! Rulings on requests under which endpoints ended, as the store keeps them.
+//! Rulings on poison requests, as the store keeps them.
 //!
-//! Nodes tell each other at once; the store is for those that are cut off from the others, and for the time
-//! when no node is left. The readers of a failure domain wait for records, which costs a call in 10 s
-//! each.
+//! A ruling says that a request under which endpoints crashed is rejected by all nodes, or that it
+//! is allowed again. Nodes send rulings to each other at once; the store serves nodes behind a
+//! network partition, and keeps rulings while no node runs. The readers of a failure domain follow
+//! it by long polling, with one call in 10 s each.
 
 use crate::event;
 use crate::node::{Node, lock};
@@ -18,33 +19,35 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Topic of the rulings.
+/// Topic of the rulings in the store.
 const TOPIC: &str = "keyed.quarantine";
 
-/// Time between looks at whether this node is to read or to write.
-const IDLE: Duration = Duration::from_millis(250);
+/// Interval of the checks whether this node must read or write.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time that a read waits for a record: other nodes tell of it at once, and each call is priced.
-const WAIT: Duration = Duration::from_secs(10);
+/// Time that the store holds a read until there is a new record: rulings come from other nodes at
+/// once, and each call has a price.
+const LONG_POLL: Duration = Duration::from_secs(10);
 
-/// Pause after a failed call, and how often it doubles: 4 s.
-const PAUSE: Duration = Duration::from_millis(500);
-const DOUBLED: u32 = 3;
+/// Pause after a failed call, and how often it doubles: up to 4 s.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const MAX_DOUBLINGS: u32 = 3;
 
-/// Time after which a reader writes a ruling that the node which made it did not, in milliseconds.
-const ORPHANED: u64 = 2_000;
+/// Time after which a reader writes a ruling that the node which made it has not written, in
+/// milliseconds.
+const ORPHANED_MS: u64 = 2_000;
 
-/// A record that holds no ruling.
+/// Error for a record without a ruling.
 #[derive(Clone, Copy, Debug, Display, StdError, PartialEq, Eq)]
 #[display("not a ruling")]
 pub struct Malformed;
 
-/// A request and what was decided about it.
+/// A request and the ruling on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Ruling.
+    /// The ruling.
     pub ruling: Ruling,
 }
 
@@ -67,28 +70,29 @@
     }
 }
 
-/// Reads the store's rulings at the start, and follows them for good while this node is a reader.
+/// Reads the rulings from the store at the start, and follows them forever while this node is a
+/// reader.
 pub async fn follow(node: Arc<Node>) {
     let mut client = Client::new(node.settings.store);
     let mut known = None;
     let mut failures = 0_u32;
-    let mut asked = false;
+    let mut initialised = false;
     loop {
-        if asked && !lock(&node.members).reads(node.now()) {
+        if initialised && !lock(&node.members).reads(node.now()) {
             known = None;
-            sleep(IDLE).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         let page = read(&mut client, known).await;
         match page {
             Ok(page) => {
-                (known, failures, asked) = (Some(page.end), 0, true);
-                take(&node, &page);
+                (known, failures, initialised) = (Some(page.end), 0, true);
+                apply(&node, &page);
             }
             Err(Error::Gone) => known = None,
             Err(error) => {
-                debug!("rulings: {error}");
-                sleep(PAUSE * (1 << failures.min(DOUBLED))).await;
+                debug!("reading rulings failed: {error}");
+                sleep(RETRY_PAUSE * (1 << failures.min(MAX_DOUBLINGS))).await;
                 failures += 1;
             }
         }
@@ -99,12 +103,12 @@
 async fn read(client: &mut Client, known: Option<u64>) -> Result<Page, Error> {
     match known {
         None => client.newest(TOPIC).await,
-        Some(from) => client.read(TOPIC, from, WAIT).await,
+        Some(from) => client.read(TOPIC, from, LONG_POLL).await,
     }
 }
 
-/// Puts rulings in force, and tells others of those that are new.
-fn take(node: &Node, page: &Page) {
+/// Applies rulings, and sends new ones to the other nodes.
+fn apply(node: &Node, page: &Page) {
     let (now, unix) = (node.now(), clock::unix());
     for record in &page.records {
         let Ok(Entry { request, ruling }) = Entry::try_from(record) else {
@@ -124,15 +128,15 @@
     }
 }
 
-/// Writes rulings to the store that it lacks, for good.
+/// Writes rulings that the store lacks, forever.
 pub async fn save(node: Arc<Node>) {
     let mut client = Client::new(node.settings.store);
     let mut failures = 0_u32;
     loop {
-        // What was ruled here is written at once: all nodes may be killed at the next moment.
-        let _ = timeout(IDLE, node.ruled.notified()).await;
+        // A new ruling is written at once, since all nodes may be killed at the next moment.
+        let _ = timeout(CHECK_INTERVAL, node.ruled.notified()).await;
         let reader = lock(&node.members).reads(node.now());
-        let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED));
+        let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED_MS));
         for (request, ruling) in unsaved {
             match (Entry { request, ruling }).write(&mut client).await {
                 Ok(()) => {
@@ -141,7 +145,7 @@
                 }
                 Err(error) => {
                     info!(fingerprint:% = request, why:% = error; "{}", event::UNSAVED);
-                    sleep(PAUSE * (1 << failures.min(DOUBLED))).await;
+                    sleep(RETRY_PAUSE * (1 << failures.min(MAX_DOUBLINGS))).await;
                     failures += 1;
                 }
             }
@@ -149,15 +153,15 @@
     }
 }
 
-/// All rulings that the store holds and that are not over.
+/// All unexpired rulings in the store.
 pub async fn list(client: &mut Client) -> Result<Vec<Entry>, Error> {
     let page = client.newest(TOPIC).await?;
     let unix = clock::unix();
-    let entries = page.records.iter().filter_map(|it| Entry::try_from(it).ok());
-    Ok(entries.filter(|it| !it.ruling.over(unix)).collect())
+    let entries = page.records.iter().filter_map(|record| Entry::try_from(record).ok());
+    Ok(entries.filter(|entry| !entry.ruling.over(unix)).collect())
 }
 
-/// Lets a request in again.
+/// Lifts the ruling on a request.
 pub async fn lift(client: &mut Client, request: Fingerprint) -> Result<(), Error> {
     let ruling = Ruling { at: clock::unix(), verdict: Verdict::Lifted };
     Entry { request, ruling }.write(client).await
