--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -21,7 +21,7 @@
     #[display(
         "record of endpoint {id} started at {born} is stale: the endpoint restarted at {newest}"
     )]
-    Former {
+    Stale {
         /// Id of the endpoint.
         id: String,
         /// Start time in the record.
@@ -48,7 +48,7 @@
         match discovery::decode(id, bytes) {
             Ok(endpoint) if endpoint.born < self.latest_born => {
                 let (id, born, newest) = (id.to_owned(), endpoint.born, self.latest_born);
-                Err(Error::Former { id, born, newest })
+                Err(Error::Stale { id, born, newest })
             }
             Ok(endpoint) => {
                 self.latest_born = endpoint.born;
@@ -70,7 +70,7 @@
 impl Directory {
     /// Updates the directory to the newest records of all ids. Returns the reasons why changed
     /// records are not used.
-    pub fn take<'a>(
+    pub fn update<'a>(
         &mut self,
         records: impl Iterator<Item = (&'a String, &'a Bytes)>,
     ) -> Vec<Error> {
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -40,9 +40,9 @@
     let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease);
     let mut plans = HashMap::new();
     loop {
-        let steady = node.stopping.borrow().is_none();
-        let first = lock(&node.members).first(node.now());
-        if steady && first {
+        let active = node.stopping.borrow().is_none();
+        let leader = lock(&node.members).is_leader(node.now());
+        if active && leader {
             give_orders(&node, &mut client, &mut lease, &mut plans).await;
         }
         sleep(CHECK_INTERVAL).await;
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -57,25 +57,25 @@
 
 /// Reason for a read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Reason {
     /// This node is one of the readers of its failure domain.
     Reader,
     /// This node has nothing of the topic, and the store has not answered that the topic is empty.
-    Nothing,
+    Uninitialised,
     /// Other nodes announced data that has not been pulled from them.
     Overdue,
 }
 
 /// Pause after a failed call, by the number of consecutive failures before it.
-pub fn pause(failures: u32, need: Need) -> Duration {
-    match (failures, need) {
+pub fn retry_pause(failures: u32, reason: Reason) -> Duration {
+    match (failures, reason) {
         (0, _) => FIRST_RETRY_PAUSE,
-        (failures, Need::Nothing) if failures < STARTUP_FAILURES => STARTUP_RETRY_PAUSE,
-        (_, Need::Reader) => RETRY_PAUSE,
-        (failures, Need::Nothing) => {
+        (failures, Reason::Uninitialised) if failures < STARTUP_FAILURES => STARTUP_RETRY_PAUSE,
+        (_, Reason::Reader) => RETRY_PAUSE,
+        (failures, Reason::Uninitialised) => {
             RETRY_PAUSE * (1 << (failures - STARTUP_FAILURES).min(STARTUP_MAX_DOUBLINGS))
         }
-        (failures, Need::Overdue) => RETRY_PAUSE * (1 << (failures - 1).min(MAX_DOUBLINGS)),
+        (failures, Reason::Overdue) => RETRY_PAUSE * (1 << (failures - 1).min(MAX_DOUBLINGS)),
     }
 }
 
@@ -93,7 +93,7 @@
 
 impl Lag {
     /// Whether an offset that was announced long enough ago has not been reached.
-    pub fn overdue(&mut self, announced: u64, known: u64, now: Millis) -> bool {
+    pub fn is_overdue(&mut self, announced: u64, known: u64, now: Millis) -> bool {
         if known >= self.awaited {
             *self = Self { awaited: announced, since: now };
         }
@@ -116,17 +116,18 @@
 
 impl Follower {
     /// Reason to read the topic now, if there is one.
-    fn need(&mut self, node: &Node, topic: Topic) -> Option<Need> {
+    fn reason(&mut self, node: &Node, topic: Topic) -> Option<Reason> {
         let now = node.now();
-        let (announced, known) = (node.told.borrow().of(topic), node.mirror().ends().of(topic));
-        let overdue = self.lag.overdue(announced, known, now);
+        let (announced, known) =
+            (node.peer_offsets.borrow().of(topic), node.mirror().ends().of(topic));
+        let overdue = self.lag.is_overdue(announced, known, now);
         if !self.answered && node.mirror().end(topic) == 0 {
-            return Some(Need::Nothing);
+            return Some(Reason::Uninitialised);
         }
-        if lock(&node.members).reads(now) {
-            return Some(Need::Reader);
+        if lock(&node.members).is_store_reader(now) {
+            return Some(Reason::Reader);
         }
-        overdue.then_some(Need::Overdue)
+        overdue.then_some(Reason::Overdue)
     }
 
     /// Reads once: everything at first, then new records.
@@ -137,7 +138,7 @@
             None => client.newest(topic.name()).await?,
             Some(from) => client.read(topic.name(), from, LONG_POLL).await?,
         };
-        node.store_answered(self.failures > 0);
+        node.record_store_answer(self.failures > 0);
         self.records_dropped = false;
         let first = !std::mem::replace(&mut self.answered, true);
         let empty = page.end == 0;
@@ -159,7 +160,7 @@
     let mut client = Client::new(node.settings.store);
     let mut follower = Follower::default();
     loop {
-        let Some(need) = follower.need(&node, topic) else {
+        let Some(reason) = follower.reason(&node, topic) else {
             sleep(CHECK_INTERVAL).await;
             continue;
         };
@@ -172,11 +173,11 @@
             }
             Err(Error::Gone) => follower.records_dropped = true,
             Err(error) => {
-                node.store_failed(topic);
+                node.record_store_failure(topic);
                 if follower.failures == 0 {
                     warn!(topic = topic.name(), why:% = error; "{}", event::LOST);
                 }
-                sleep(pause(follower.failures, need)).await;
+                sleep(retry_pause(follower.failures, reason)).await;
                 follower.failures += 1;
             }
         }
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -21,7 +21,7 @@
 const MAX_PATCHES_BYTES: usize = 1 << 20;
 
 /// Size of the longest chunk, in bytes: it blocks a 10 Mbit/s link for 26 ms.
-pub const PIECE: usize = 32_768;
+pub const CHUNK_BYTES: usize = 32_768;
 
 /// Versions between which a patch leads. Base 0 stands for the empty text, so that the patch holds
 /// the full version.
@@ -35,34 +35,34 @@
 
 /// Patch from one version to a later one.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct Patch {
     span: Span,
     data: Bytes,
 }
 
 /// Request for the next chunk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wanted {
+pub struct Request {
     /// Offset after the record of the version that the requester has; 0 if none.
     pub held: u64,
     /// Versions of the patch whose download has begun.
     pub span: Span,
     /// Bytes of that patch received so far.
-    pub at: u64,
+    pub received: u64,
 }
 
 /// Chunk of a patch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     span: Span,
     /// Size of the whole patch, in bytes.
     length: u64,
     /// Position of the chunk in the patch, in bytes.
-    at: u64,
+    position: u64,
     bytes: Vec<u8>,
 }
 
-impl Piece {
+impl Chunk {
     /// Size of the chunk, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
@@ -80,9 +80,9 @@
     /// Offset after the record of the newest version; 0 if there is none.
     end: u64,
     text: Bytes,
-    patches: VecDeque<Step>,
+    patches: VecDeque<Patch>,
     /// Patch that holds a full version, from which the other patches lead to the newest one.
-    full: Option<Step>,
+    full: Option<Patch>,
 }
 
 impl History {
@@ -97,7 +97,7 @@
     }
 
     /// Adds a version that was read from the store; returns false if it is not newer.
-    pub fn put(&mut self, end: u64, text: Bytes) -> bool {
+    pub fn add_version(&mut self, end: u64, text: Bytes) -> bool {
         if end <= self.end {
             return false;
         }
@@ -107,8 +107,8 @@
         if span.base == 0 {
             return true;
         }
-        match patch::make(&base, &self.text) {
-            Ok(data) => self.retain(Step { span, data }),
+        match patch::create(&base, &self.text) {
+            Ok(data) => self.retain(Patch { span, data }),
             Err(error) => {
                 // Other nodes get the full version instead.
                 warn!(why:% = error; "{}", event::SKIPPED);
@@ -119,7 +119,7 @@
     }
 
     /// Applies a patch from another node; returns false if its base is not the newest version here.
-    pub fn take(&mut self, patch: Step) -> io::Result<bool> {
+    pub fn apply(&mut self, patch: Patch) -> io::Result<bool> {
         let Span { base, target } = patch.span;
         if target <= self.end || (base > 0 && base != self.end) {
             return Ok(false);
@@ -137,19 +137,24 @@
     }
 
     /// The next chunk for another node, if this one has a newer version.
-    pub fn piece(&mut self, wanted: Wanted) -> io::Result<Option<Piece>> {
-        let Some(patch) = self.next_patch(wanted.held)? else {
+    pub fn chunk(&mut self, request: Request) -> io::Result<Option<Chunk>> {
+        let Some(patch) = self.next_patch(request.held)? else {
             return Ok(None);
         };
         let length = patch.data.len();
-        let continues = wanted.span == patch.span && wanted.at <= length as u64;
-        let at = if continues { wanted.at as usize } else { 0 };
-        let bytes = patch.data[at..length.min(at + PIECE)].to_vec();
-        Ok(Some(Piece { span: patch.span, length: length as u64, at: at as u64, bytes }))
+        let continues = request.span == patch.span && request.received <= length as u64;
+        let position = if continues { request.received as usize } else { 0 };
+        let bytes = patch.data[position..length.min(position + CHUNK_BYTES)].to_vec();
+        Ok(Some(Chunk {
+            span: patch.span,
+            length: length as u64,
+            position: position as u64,
+            bytes,
+        }))
     }
 
     /// The patch that leads on from a version, or a full version if there is no such patch.
-    fn next_patch(&mut self, held: u64) -> io::Result<Option<Step>> {
+    fn next_patch(&mut self, held: u64) -> io::Result<Option<Patch>> {
         if held >= self.end {
             return Ok(None);
         }
@@ -158,20 +163,20 @@
         }
         if self.full.as_ref().is_none_or(|full| full.span.target <= held) {
             let span = Span { base: 0, target: self.end };
-            self.full = Some(Step { span, data: patch::make(&[], &self.text)? });
+            self.full = Some(Patch { span, data: patch::create(&[], &self.text)? });
         }
         Ok(self.full.clone())
     }
 
-    fn retain(&mut self, patch: Step) {
+    fn retain(&mut self, patch: Patch) {
         self.patches.push_back(patch);
         let bytes =
-            |patches: &VecDeque<Step>| patches.iter().map(|patch| patch.data.len()).sum::<usize>();
+            |patches: &VecDeque<Patch>| patches.iter().map(|patch| patch.data.len()).sum::<usize>();
         while self.patches.len() > MAX_PATCHES || bytes(&self.patches) > MAX_PATCHES_BYTES {
             self.patches.pop_front();
         }
         let first_base = self.patches.front().map_or(self.end, |patch| patch.span.base);
-        let bytes_after = |full: &Step| {
+        let bytes_after = |full: &Patch| {
             let later = self.patches.iter().filter(|patch| patch.span.base >= full.span.target);
             later.map(|patch| patch.data.len()).sum::<usize>()
         };
@@ -198,35 +203,35 @@
 
 impl Download {
     /// Request for the next chunk.
-    pub fn wanted(&self, held: u64) -> Wanted {
+    pub fn request(&self, held: u64) -> Request {
         let held = if self.needs_full { 0 } else { held };
-        Wanted { held, span: self.span, at: self.data.len() as u64 }
+        Request { held, span: self.span, received: self.data.len() as u64 }
     }
 
     /// Whether any chunk has been received.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         !self.data.is_empty()
     }
 
     /// Requests a full version next, after a patch could not be applied.
-    pub fn distrust(&mut self) {
+    pub fn require_full(&mut self) {
         self.needs_full = true;
     }
 
     /// Adds a chunk; returns the patch once it is complete.
-    pub fn take(&mut self, piece: Piece) -> Option<Step> {
-        if piece.span != self.span || piece.at != self.data.len() as u64 {
-            self.span = piece.span;
+    pub fn add_chunk(&mut self, chunk: Chunk) -> Option<Patch> {
+        if chunk.span != self.span || chunk.position != self.data.len() as u64 {
+            self.span = chunk.span;
             self.data.clear();
         }
-        if piece.at != self.data.len() as u64 {
+        if chunk.position != self.data.len() as u64 {
             return None;
         }
-        self.data.extend_from_slice(&piece.bytes);
-        if (self.data.len() as u64) < piece.length {
+        self.data.extend_from_slice(&chunk.bytes);
+        if (self.data.len() as u64) < chunk.length {
             return None;
         }
         let complete = std::mem::take(self);
-        Some(Step { span: complete.span, data: complete.data.into() })
+        Some(Patch { span: complete.span, data: complete.data.into() })
     }
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -4,7 +4,7 @@
 //! without agreement: the first by name, without those whose reads fail. If two nodes disagree for
 //! a moment, both read; orders are protected by the lease in the store.
 
-use crate::mirror::Ends;
+use crate::mirror::Offsets;
 use crosslane_coordination::heartbeat::{self, FEW, Interval};
 use crosslane_coordination::limits::Word as LimitWord;
 use crosslane_coordination::quota;
@@ -43,7 +43,7 @@
     /// rewrite records that expired in it.
     pub returned: Option<u64>,
     /// Offsets up to which it has the data of the store.
-    pub ends: Ends,
+    pub ends: Offsets,
     /// Its usage of endpoints.
     pub usage: Vec<(Tag, Usage)>,
     /// Stage changes that it ordered and that engines have not completed.
@@ -84,32 +84,32 @@
     },
     /// Offsets that the sender has reached, sent to some near nodes after it pulled a
     /// configuration.
-    News {
+    Offsets {
         /// Offsets up to which the sender has the data of the store.
-        ends: Ends,
+        offsets: Offsets,
     },
     /// Suspicions that the sender made or received about requests that may crash endpoints, sent at
     /// once.
-    Words {
+    Suspicions {
         /// Tag of the sender's VM.
         vm: Tag,
         /// Suspicions by request.
-        words: Vec<(Fingerprint, suspicion::Word)>,
+        suspicions: Vec<(Fingerprint, suspicion::Word)>,
     },
     /// Digest of the rulings that the sender has, sent after each heartbeat while there are any.
-    Rulings {
+    RulingsDigest {
         /// Digest of all rulings.
         digest: u64,
     },
     /// Request for all rulings.
-    RulingsWanted,
+    RulingsRequest,
     /// Rate limits that endpoints announce, as the sender has them.
     Limits {
         /// Limits by endpoint.
         words: Vec<(Tag, LimitWord)>,
     },
     /// Request for all rate limits that endpoints announce.
-    LimitsWanted,
+    LimitsRequest,
     /// Asks the node that owns a limit to grant a request.
     Ask {
         /// Number of the question, repeated in the answer.
@@ -141,9 +141,9 @@
 
 /// Result of recording a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Receipt {
     /// Time at which its contents expire.
-    pub until: Millis,
+    pub expires_at: Millis,
     /// Whether its sender is near and was silent before. It needs a heartbeat of this node at once
     /// to work out who reads the store.
     pub newcomer: bool,
@@ -175,7 +175,7 @@
     domain: String,
     steady: bool,
     fed: bool,
-    ends: Ends,
+    offsets: Offsets,
     last_heartbeat: Option<LastHeartbeat>,
 }
 
@@ -189,7 +189,7 @@
 
 impl LastHeartbeat {
     /// Time at which the node counts as silent.
-    fn until(self) -> Millis {
+    fn expires_at(self) -> Millis {
         self.at + heartbeat::life(self.interval_ms)
     }
 }
@@ -236,18 +236,18 @@
     /// Whether nodes were added since the last call, which need a heartbeat of this one. Silent
     /// nodes get only every eighth heartbeat: among 295 nodes, a node that started would be unknown
     /// for up to 18 s.
-    pub fn take_found(&mut self) -> bool {
+    pub fn take_unannounced(&mut self) -> bool {
         std::mem::take(&mut self.unannounced)
     }
 
     /// Records a heartbeat.
-    pub fn hear(&mut self, ip: IpAddr, heartbeat: &Heartbeat, now: Millis) -> Word {
+    pub fn record_heartbeat(&mut self, ip: IpAddr, heartbeat: &Heartbeat, now: Millis) -> Receipt {
         let interval_ms = heartbeat.interval.toward(heartbeat.domain == self.domain);
         let last_heartbeat = LastHeartbeat { at: now, interval_ms };
         let previous = self.members.get(&ip).and_then(|member| member.last_heartbeat);
-        let silent = previous.is_none_or(|previous| previous.until() <= now);
-        let newcomer = ip != self.own_ip && silent && self.near(&heartbeat.domain);
-        let receipt = Word { until: last_heartbeat.until(), newcomer };
+        let silent = previous.is_none_or(|previous| previous.expires_at() <= now);
+        let newcomer = ip != self.own_ip && silent && self.is_near(&heartbeat.domain);
+        let receipt = Receipt { expires_at: last_heartbeat.expires_at(), newcomer };
         if ip == self.own_ip {
             return receipt;
         }
@@ -257,7 +257,7 @@
             domain: heartbeat.domain.clone(),
             steady: heartbeat.steady,
             fed: heartbeat.fed,
-            ends: heartbeat.ends,
+            offsets: heartbeat.ends,
             last_heartbeat: Some(last_heartbeat),
         };
         self.members.insert(ip, member);
@@ -265,23 +265,23 @@
     }
 
     /// Records the offsets that a known node announced between heartbeats.
-    pub fn hear_news(&mut self, ip: IpAddr, ends: Ends) {
+    pub fn record_offsets(&mut self, ip: IpAddr, offsets: Offsets) {
         if let Some(member) = self.members.get_mut(&ip) {
-            member.ends = ends;
+            member.offsets = offsets;
         }
     }
 
     /// Addresses of live nodes with sufficient offsets, except for one that failed: those of this
     /// failure domain, or all if there are none, since traffic between domains is expensive.
-    pub fn holders(
+    pub fn sources(
         &self,
         now: Millis,
         failed: Option<IpAddr>,
-        sufficient: impl Fn(&Ends) -> bool,
+        sufficient: impl Fn(&Offsets) -> bool,
     ) -> Vec<IpAddr> {
         let (own, other): (Vec<_>, Vec<_>) = self
             .live(now)
-            .filter(|(ip, member)| Some(**ip) != failed && sufficient(&member.ends))
+            .filter(|(ip, member)| Some(**ip) != failed && sufficient(&member.offsets))
             .partition(|(_, member)| member.domain == self.domain);
         let chosen = if own.is_empty() { other } else { own };
         chosen.into_iter().map(|(ip, _)| *ip).collect()
@@ -293,13 +293,14 @@
     }
 
     /// Whether the nodes of a failure domain choose among the same engines as this one.
-    fn near(&self, domain: &str) -> bool {
+    fn is_near(&self, domain: &str) -> bool {
         self.members.len() <= FEW || domain == self.domain
     }
 
     fn live(&self, now: Millis) -> impl Iterator<Item = (&IpAddr, &Member)> {
-        let is_live =
-            move |member: &Member| member.last_heartbeat.is_some_and(|last| now < last.until());
+        let is_live = move |member: &Member| {
+            member.last_heartbeat.is_some_and(|last| now < last.expires_at())
+        };
         self.members.iter().filter(move |(_, member)| is_live(member))
     }
 
@@ -309,7 +310,7 @@
             Scope::All => self.members.keys().copied().collect(),
             Scope::Live => self.live(now).map(|(ip, _)| *ip).collect(),
             Scope::Near => {
-                let near = self.live(now).filter(|(_, member)| self.near(&member.domain));
+                let near = self.live(now).filter(|(_, member)| self.is_near(&member.domain));
                 near.map(|(ip, _)| *ip).collect()
             }
         }
@@ -319,7 +320,7 @@
     /// have spent from it until its next heartbeat was due, which counts for one window. During the
     /// first window of this node, nodes that were never heard count too: after a restart of all
     /// nodes, each would otherwise take most of the budget.
-    pub fn count(&self, now: Millis) -> usize {
+    pub fn retry_budget_sharers(&self, now: Millis) -> usize {
         let starting = now < Millis(self.retry_window_ms);
         let spends = |member: &&Member| {
             member
@@ -345,14 +346,14 @@
         let starting = now < Millis(self.retry_window_ms);
         let serves = |member: &&Member| {
             member.last_heartbeat.map_or(starting, |last| {
-                now < last.until() || (member.steady && now.since(last.at) < PARTITION_MS)
+                now < last.expires_at() || (member.steady && now.since(last.at) < PARTITION_MS)
             })
         };
         (1 + self.live(now).count(), 1 + self.members.values().filter(serves).count())
     }
 
     /// Whether this node is the first by name of those that may give orders to engines.
-    pub fn first(&self, now: Millis) -> bool {
+    pub fn is_leader(&self, now: Millis) -> bool {
         let mut others = self.live(now).filter(|(_, member)| member.steady && member.fed);
         others.all(|(_, member)| self.vm < member.vm)
     }
@@ -364,7 +365,7 @@
     /// that is out for 4 s gets calls from a few nodes only. If all took over at once, 295 nodes
     /// would make 4,700 calls to it (of 13,500 in a day), which return no more than those of the
     /// readers.
-    pub fn reads(&mut self, now: Millis) -> bool {
+    pub fn is_store_reader(&mut self, now: Millis) -> bool {
         let predecessors = self.live(now).filter(|(_, member)| {
             member.domain == self.domain && member.steady && member.vm < self.vm
         });
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -2,7 +2,7 @@
 //!
 //! Both topics are logs: a higher offset is newer, wherever the record comes from.
 
-use crate::history::{History, PIECE, Piece, Step, Wanted};
+use crate::history::{CHUNK_BYTES, Chunk, History, Patch, Request};
 use bytes::Bytes;
 use crosslane_platform::store::{self, Page, Record};
 use serde::{Deserialize, Serialize};
@@ -36,14 +36,14 @@
 
 /// Offsets up to which a node has the data of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ends {
+pub struct Offsets {
     /// Offset after the newest record of the configuration.
     pub configuration: u64,
     /// Offset after the newest record of an endpoint.
     pub endpoints: u64,
 }
 
-impl Ends {
+impl Offsets {
     /// Offset of a topic.
     pub fn of(&self, topic: Topic) -> u64 {
         match topic {
@@ -81,16 +81,16 @@
 
 /// Records of endpoints for a node that is behind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Part {
+pub enum Batch {
     /// The changes after its offset.
-    Recent {
+    Delta {
         /// Records in the order of the log.
         entries: Vec<Entry>,
         /// Offset after the last record.
         end: u64,
     },
     /// A page of the newest records of all keys, for a node that is too far behind.
-    Listed {
+    SnapshotPage {
         /// Records in the order of their keys.
         entries: Vec<Entry>,
         /// Offset up to which the snapshot is complete.
@@ -100,10 +100,10 @@
     },
 }
 
-impl Part {
+impl Batch {
     /// Size of the keys and values of its records, in bytes.
     pub fn len(&self) -> usize {
-        let (Self::Recent { entries, .. } | Self::Listed { entries, .. }) = self;
+        let (Self::Delta { entries, .. } | Self::SnapshotPage { entries, .. }) = self;
         entries.iter().map(Entry::len).sum()
     }
 
@@ -115,7 +115,7 @@
 
 /// Pages of a snapshot received so far, from one node or several.
 #[derive(Debug, Default)]
-pub struct List {
+pub struct Snapshot {
     entries: Vec<Entry>,
     /// Offset up to which the snapshot is complete, the lowest of all pages: changes between two
     /// pages are pulled after it.
@@ -124,14 +124,19 @@
     next: Option<String>,
 }
 
-impl List {
+impl Snapshot {
     /// Key after which the next page begins; nothing for the first page.
     pub fn after(&self) -> Option<&String> {
         self.next.as_ref()
     }
 
     /// Adds a page; returns the snapshot once it is complete.
-    pub fn add(&mut self, entries: Vec<Entry>, end: u64, next: Option<String>) -> Option<Self> {
+    pub fn add_page(
+        &mut self,
+        entries: Vec<Entry>,
+        end: u64,
+        next: Option<String>,
+    ) -> Option<Self> {
         self.end = if self.next.is_some() { self.end.min(end) } else { end };
         self.entries.extend(entries);
         self.next = next;
@@ -197,7 +202,7 @@
 
     /// Records for a node that has read up to an offset; for the next page of a snapshot, those
     /// after a key.
-    fn part(&self, from: u64, after: Option<&str>) -> Part {
+    fn batch(&self, from: u64, after: Option<&str>) -> Batch {
         let kept = self.recent.front().is_some_and(|record| record.offset <= from);
         if after.is_some() || (from < self.end && !kept) {
             return self.snapshot_page(after);
@@ -207,16 +212,16 @@
             changes.map(|record| Entry::new(record.offset, &record.key, record.value.as_ref()));
         let (entries, more) = first_chunk(entries);
         let sent_end = entries.last().map(|entry| entry.offset + 1);
-        Part::Recent { entries, end: sent_end.filter(|_| more).unwrap_or(self.end) }
+        Batch::Delta { entries, end: sent_end.filter(|_| more).unwrap_or(self.end) }
     }
 
-    fn snapshot_page(&self, after: Option<&str>) -> Part {
+    fn snapshot_page(&self, after: Option<&str>) -> Batch {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let records = self.newest.range::<str, _>((from, Bound::Unbounded));
         let (entries, more) =
             first_chunk(records.map(|(key, value)| Entry::new(0, key, Some(value))));
         let next = entries.last().filter(|_| more).map(|entry| entry.key.clone());
-        Part::Listed { entries, end: self.end, next }
+        Batch::SnapshotPage { entries, end: self.end, next }
     }
 }
 
@@ -225,7 +230,7 @@
     let mut chosen = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        if bytes >= PIECE {
+        if bytes >= CHUNK_BYTES {
             return (chosen, true);
         }
         bytes += entry.len();
@@ -245,8 +250,8 @@
 
 impl Mirror {
     /// Offsets up to which this node has the data of the store.
-    pub fn ends(&self) -> Ends {
-        Ends { configuration: self.configuration.end(), endpoints: self.endpoints.end }
+    pub fn ends(&self) -> Offsets {
+        Offsets { configuration: self.configuration.end(), endpoints: self.endpoints.end }
     }
 
     /// Offset from which the next read of a topic starts.
@@ -284,30 +289,30 @@
         let mut changed = false;
         for record in page.records.into_iter().filter(|record| record.key == store::CONFIGURATION) {
             if let Some(text) = record.value {
-                changed |= self.configuration.put(record.offset + 1, text);
+                changed |= self.configuration.add_version(record.offset + 1, text);
             }
         }
         changed
     }
 
     /// The next chunk of the configuration for another node, if this one has a newer version.
-    pub fn piece(&mut self, wanted: Wanted) -> io::Result<Option<Piece>> {
-        self.configuration.piece(wanted)
+    pub fn chunk(&mut self, request: Request) -> io::Result<Option<Chunk>> {
+        self.configuration.chunk(request)
     }
 
     /// Applies a complete patch of the configuration from another node.
-    pub fn take_step(&mut self, step: Step) -> io::Result<Change> {
-        Ok(Change { configuration: self.configuration.take(step)?, endpoints: false })
+    pub fn apply_patch(&mut self, patch: Patch) -> io::Result<Change> {
+        Ok(Change { configuration: self.configuration.apply(patch)?, endpoints: false })
     }
 
     /// Records of endpoints for a node that has read up to an offset; for the next page of a
     /// snapshot, those after a key.
-    pub fn part(&self, from: u64, after: Option<&str>) -> Part {
-        self.endpoints.part(from, after)
+    pub fn batch(&self, from: u64, after: Option<&str>) -> Batch {
+        self.endpoints.batch(from, after)
     }
 
     /// Merges changes that another node sent, in the order of the log.
-    pub fn merge_recent(&mut self, entries: Vec<Entry>, end: u64) -> Change {
+    pub fn merge_delta(&mut self, entries: Vec<Entry>, end: u64) -> Change {
         let first_offset = entries.first().map_or(end, |entry| entry.offset);
         // The records in between were not sent.
         let gap = first_offset > self.endpoints.end;
@@ -317,9 +322,9 @@
     }
 
     /// Merges a complete snapshot that other nodes sent.
-    pub fn merge_list(&mut self, list: List) -> Change {
-        let records = list.entries.into_iter().map(Record::from).collect();
-        let page = Page { records, end: list.end };
+    pub fn merge_snapshot(&mut self, snapshot: Snapshot) -> Change {
+        let records = snapshot.entries.into_iter().map(Record::from).collect();
+        let page = Page { records, end: snapshot.end };
         Change { configuration: false, endpoints: self.endpoints.replace(page) }
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -7,7 +7,7 @@
 use crate::kept::Kept;
 use crate::members::{Members, Subject};
 use crate::meter::Meter;
-use crate::mirror::{Change, Ends, Mirror, Topic};
+use crate::mirror::{Change, Mirror, Offsets, Topic};
 use crate::quarantine::Checks;
 use crate::quota::Desk;
 use crosslane_coordination::admission::Patience;
@@ -90,9 +90,9 @@
     /// Wakes the sender of usage updates to near nodes.
     pub updated: Notify,
     /// Highest offsets that any other node has announced.
-    pub told: watch::Sender<Ends>,
+    pub peer_offsets: watch::Sender<Offsets>,
     /// Wakes the announcement of a configuration that was pulled from another node.
-    pub gained: Notify,
+    pub configuration_pulled: Notify,
     /// Wakes the broadcast of suspicions about requests that may crash endpoints.
     pub suspected: Notify,
     /// Wakes the broadcast of rate limits that endpoints announce.
@@ -102,7 +102,7 @@
     /// Liveness checks of endpoints that broke off an answer.
     pub checks: Checks,
     /// Whether reading the rulings from the store was tried, with or without success.
-    pub rulings_read: AtomicBool,
+    pub rulings_read_tried: AtomicBool,
     /// Rate limits of organisations.
     pub quota: Desk,
     /// Rate limits of endpoints, as a node grants them.
@@ -121,7 +121,7 @@
     store_recovered_at: Mutex<Millis>,
     store_read_at: Mutex<Option<Millis>>,
     /// Whether the last call to the store failed.
-    store_lost: AtomicBool,
+    last_store_call_failed: AtomicBool,
     /// When the machine resumed from a suspension; nothing once this node is up to date again.
     resumed_at: Mutex<Option<Millis>>,
     /// Token bucket for the bytes of transfers to other nodes.
@@ -168,13 +168,13 @@
             members: Mutex::new(Members::new(&settings)),
             changed: Notify::new(),
             updated: Notify::new(),
-            told: watch::Sender::default(),
-            gained: Notify::new(),
+            peer_offsets: watch::Sender::default(),
+            configuration_pulled: Notify::new(),
             suspected: Notify::new(),
             limited: Notify::new(),
             ruled: Notify::new(),
             checks: Checks::default(),
-            rulings_read: AtomicBool::new(false),
+            rulings_read_tried: AtomicBool::new(false),
             quota: Desk::new(settings.quota),
             throttle: Desk::new(limits::BOUND),
             socket: OnceLock::new(),
@@ -187,7 +187,7 @@
             allowance: Mutex::new(Allowance::new(budget)),
             store_recovered_at: Mutex::default(),
             store_read_at: Mutex::default(),
-            store_lost: AtomicBool::new(false),
+            last_store_call_failed: AtomicBool::new(false),
             resumed_at: Mutex::default(),
             peer_bandwidth: Mutex::new(Pace::new(settings.link / LINK_SHARE_DIVISOR, BURST_BYTES)),
             patience: Mutex::default(),
@@ -273,11 +273,11 @@
     }
 
     /// Records the offsets that another node announced.
-    pub fn hear_of(&self, ends: Ends) {
-        self.told.send_if_modified(|highest| {
+    pub fn record_peer_offsets(&self, offsets: Offsets) {
+        self.peer_offsets.send_if_modified(|highest| {
             let before = *highest;
-            highest.configuration = highest.configuration.max(ends.configuration);
-            highest.endpoints = highest.endpoints.max(ends.endpoints);
+            highest.configuration = highest.configuration.max(offsets.configuration);
+            highest.endpoints = highest.endpoints.max(offsets.endpoints);
             *highest != before
         });
     }
@@ -285,26 +285,26 @@
     /// Whether another node has newer data of a topic.
     pub fn behind(&self, topic: Topic) -> bool {
         let known = self.mirror().ends();
-        self.told.borrow().of(topic) > known.of(topic)
+        self.peer_offsets.borrow().of(topic) > known.of(topic)
     }
 
     /// Whether this node can serve callers.
     pub fn ready(&self) -> bool {
-        let rulings_tried = self.rulings_read.load(Ordering::Relaxed);
+        let rulings_tried = self.rulings_read_tried.load(Ordering::Relaxed);
         let has_state = rulings_tried && self.table().is_some() && self.caught_up();
         self.stopping.borrow().is_none() && has_state && !self.pool().is_empty()
     }
 
     /// Records that the machine was suspended: all state is older by that time, and the other nodes
     /// took this node for dead.
-    pub fn wake(&self) {
+    pub fn mark_resumed(&self) {
         *lock(&self.resumed_at) = Some(self.now());
         *lock(&self.store_read_at) = None;
         self.changed.notify_one();
     }
 
     /// Records that this node has the newest data of the store or of another node.
-    pub fn refreshed(&self) {
+    pub fn mark_up_to_date(&self) {
         *lock(&self.resumed_at) = None;
     }
 
@@ -328,7 +328,7 @@
 
     /// Takes a retry from the retry budget of a service; false if the budget is used up.
     pub fn take_repeat(&self, service: &str) -> bool {
-        let members = lock(&self.members).count(self.now());
+        let members = lock(&self.members).retry_budget_sharers(self.now());
         lock(&self.allowance).take(service, members, self.now())
     }
 
@@ -341,32 +341,32 @@
     }
 
     /// Records that the store answered; `recovered` if the call before failed.
-    pub fn store_answered(&self, recovered: bool) {
+    pub fn record_store_answer(&self, recovered: bool) {
         let now = self.now();
-        if !self.fed() {
+        if !self.store_reachable() {
             // Nodes that would take over reading need not.
             self.changed.notify_one();
         }
         *lock(&self.store_read_at) = Some(now);
-        self.store_lost.store(false, Ordering::Relaxed);
-        self.refreshed();
+        self.last_store_call_failed.store(false, Ordering::Relaxed);
+        self.mark_up_to_date();
         if recovered {
             *lock(&self.store_recovered_at) = now;
         }
     }
 
     /// Records a failed read of a topic.
-    pub fn store_failed(&self, topic: Topic) {
+    pub fn record_store_failure(&self, topic: Topic) {
         if lock(&self.store_read_at).take().is_some() {
             self.changed.notify_one();
         }
-        self.store_lost.store(true, Ordering::Relaxed);
+        self.last_store_call_failed.store(true, Ordering::Relaxed);
         self.meter.store_failed(topic.name());
     }
 
     /// Time since the store recovered, in milliseconds, while endpoints may still rewrite expired
     /// records.
-    pub fn returned(&self) -> Option<u64> {
+    pub fn store_recovered_ms(&self) -> Option<u64> {
         let recovered_at = *lock(&self.store_recovered_at);
         let ago_ms = self.now().since(recovered_at);
         (recovered_at > Millis::default() && ago_ms < EXPIRY_GRACE_MS).then_some(ago_ms)
@@ -374,29 +374,29 @@
 
     /// Records that the store recovered for another node, which is possibly the only one that
     /// called it.
-    pub fn hear_returned(&self, ago_ms: u64) {
+    pub fn record_peer_recovery(&self, ago_ms: u64) {
         let recovered_at = self.now() - ago_ms;
         let mut latest = lock(&self.store_recovered_at);
         *latest = (*latest).max(recovered_at);
     }
 
     /// Whether this node read the store successfully a short time ago.
-    pub fn fed(&self) -> bool {
+    pub fn store_reachable(&self) -> bool {
         lock(&self.store_read_at).is_some_and(|at| self.now().since(at) < STORE_FRESH_MS)
     }
 
     /// Whether the last call to the store failed.
-    pub fn store_lost(&self) -> bool {
-        self.store_lost.load(Ordering::Relaxed)
+    pub fn last_store_call_failed(&self) -> bool {
+        self.last_store_call_failed.load(Ordering::Relaxed)
     }
 
     /// Whether the bandwidth for transfers to other nodes allows another one.
-    pub fn has_room(&self) -> bool {
+    pub fn link_has_room(&self) -> bool {
         lock(&self.peer_bandwidth).open(self.now())
     }
 
     /// Counts bytes sent to another node.
-    pub fn count_told(&self, bytes: usize) {
+    pub fn count_sent_to_peers(&self, bytes: usize) {
         lock(&self.peer_bandwidth).spend(bytes);
         self.meter.told_bytes.inc_by(bytes as u64);
     }
@@ -439,7 +439,7 @@
     fn apply_endpoints(&self, source: &'static str) {
         let mut directory = lock(&self.directory);
         let mirror = self.mirror();
-        let errors = directory.take(mirror.endpoints());
+        let errors = directory.update(mirror.endpoints());
         let end = mirror.ends().endpoints;
         drop(mirror);
         let endpoints: Vec<Endpoint> = directory.endpoints().cloned().collect();
@@ -448,7 +448,7 @@
             warn!(why:% = error; "{}", event::SKIPPED);
         }
         let now = self.now();
-        let recovering = self.returned().is_some();
+        let recovering = self.store_recovered_ms().is_some();
         let mut pool = self.pool();
         let draining = endpoints.iter().filter(|endpoint| endpoint.draining).count();
         let missing = pool.len().saturating_sub(endpoints.len());
--- a/crates/gateway/src/patch.rs
+++ b/crates/gateway/src/patch.rs
@@ -18,7 +18,7 @@
 const MIN_WINDOW_LOG: u32 = 10;
 
 /// Creates the patch from a base to a text. With an empty base it is the compressed text.
-pub fn make(base: &[u8], text: &[u8]) -> io::Result<Bytes> {
+pub fn create(base: &[u8], text: &[u8]) -> io::Result<Bytes> {
     let mut encoder = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
     // The window must cover the whole base, or repeated parts are not found.
     encoder.window_log(window_log_for(base.len() + text.len()))?;
--- a/crates/gateway/src/pause.rs
+++ b/crates/gateway/src/pause.rs
@@ -30,7 +30,7 @@
         previous = now;
         if for_ms >= MIN_SUSPENSION_MS {
             warn!(for_ms; "{}", event::SUSPENDED);
-            node.wake();
+            node.mark_resumed();
         }
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -12,9 +12,9 @@
 //! `members` says which nodes read the store.
 
 use crate::event;
-use crate::history::{Piece, Wanted};
+use crate::history::{Chunk, Request};
 use crate::members::{Heartbeat, Message, Scope};
-use crate::mirror::{Part, Topic};
+use crate::mirror::{Batch, Topic};
 use crate::node::{Node, lock};
 use crate::{limit, pull, quarantine, quota};
 use crosslane_coordination::heartbeat::FAR_EVERY;
@@ -76,53 +76,58 @@
 
 /// Answer to a node that asks for newer data.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Told<T> {
-    /// Part of the data.
-    Some(T),
+pub enum Answer<T> {
+    /// The data, or the first part of it.
+    Data(T),
     /// No bandwidth is left for now; another node may have some.
     Busy,
     /// This node has nothing newer.
-    Nothing,
+    NothingNewer,
 }
 
 /// Calls between nodes by tarpc.
 #[tarpc::service]
 pub trait Peer {
     /// Records of endpoints from an offset on; for the next page of a snapshot, those after a key.
-    async fn endpoints(from: u64, after: Option<String>) -> Told<Part>;
+    async fn endpoints(from: u64, after: Option<String>) -> Answer<Batch>;
     /// The next chunk of a newer configuration.
-    async fn configuration(wanted: Wanted) -> Told<Piece>;
+    async fn configuration(request: Request) -> Answer<Chunk>;
 }
 
 #[derive(Clone)]
 struct Server(Arc<Node>);
 
 impl Peer for Server {
-    async fn endpoints(self, _: context::Context, from: u64, after: Option<String>) -> Told<Part> {
+    async fn endpoints(
+        self,
+        _: context::Context,
+        from: u64,
+        after: Option<String>,
+    ) -> Answer<Batch> {
         let node = &self.0;
-        let part = node.mirror().part(from, after.as_deref());
+        let batch = node.mirror().batch(from, after.as_deref());
         // Only snapshots are large. Recent changes are sent even without bandwidth left.
-        if matches!(part, Part::Listed { .. }) && !node.has_room() {
-            return Told::Busy;
+        if matches!(batch, Batch::SnapshotPage { .. }) && !node.link_has_room() {
+            return Answer::Busy;
         }
-        node.count_told(part.len());
-        Told::Some(part)
+        node.count_sent_to_peers(batch.len());
+        Answer::Data(batch)
     }
 
-    async fn configuration(self, _: context::Context, wanted: Wanted) -> Told<Piece> {
+    async fn configuration(self, _: context::Context, request: Request) -> Answer<Chunk> {
         let node = &self.0;
-        if !node.has_room() {
-            return Told::Busy;
+        if !node.link_has_room() {
+            return Answer::Busy;
         }
-        match node.mirror().piece(wanted) {
-            Ok(Some(piece)) => {
-                node.count_told(piece.len());
-                Told::Some(piece)
+        match node.mirror().chunk(request) {
+            Ok(Some(chunk)) => {
+                node.count_sent_to_peers(chunk.len());
+                Answer::Data(chunk)
             }
-            Ok(None) => Told::Nothing,
+            Ok(None) => Answer::NothingNewer,
             Err(error) => {
                 warn!(why:% = error; "{}", event::SKIPPED);
-                Told::Nothing
+                Answer::NothingNewer
             }
         }
     }
@@ -213,8 +218,8 @@
         domain: node.settings.domain.clone(),
         interval: lock(&node.members).interval(),
         steady: node.stopping.borrow().is_none(),
-        fed: node.fed(),
-        returned: node.returned(),
+        fed: node.store_reachable(),
+        returned: node.store_recovered_ms(),
         ends,
         usage,
         changing,
@@ -230,7 +235,7 @@
         let heartbeat = current_heartbeat(&node);
         let addresses = {
             let mut members = lock(&node.members);
-            let scope = if members.take_found() { Scope::All } else { scope(round, changed) };
+            let scope = if members.take_unannounced() { Scope::All } else { scope(round, changed) };
             members.addresses(scope, now)
         };
         node.meter.peers.set(lock(&node.members).addresses(Scope::Live, now).len() as i64);
@@ -269,12 +274,12 @@
 /// more nodes than the few readers of the store.
 async fn announce_configuration(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        node.gained.notified().await;
+        node.configuration_pulled.notified().await;
         let near = lock(&node.members).addresses(Scope::Near, node.now());
         let chosen: Vec<_> =
             near.choose_multiple(&mut rand::rng(), ANNOUNCE_FANOUT).copied().collect();
-        let ends = node.mirror().ends();
-        send(&node, &socket, &Message::News { ends }, &chosen).await;
+        let offsets = node.mirror().ends();
+        send(&node, &socket, &Message::Offsets { offsets }, &chosen).await;
     }
 }
 
@@ -297,7 +302,7 @@
     addresses: &[IpAddr],
 ) {
     for chunk in suspicions.chunks(DATAGRAM_ENTRIES) {
-        let message = Message::Words { vm: node.tag(), words: chunk.to_vec() };
+        let message = Message::Suspicions { vm: node.tag(), suspicions: chunk.to_vec() };
         send(node, socket, &message, addresses).await;
     }
 }
@@ -332,14 +337,14 @@
 async fn send_rulings_digest(node: &Node, socket: &UdpSocket, addresses: &[IpAddr]) {
     let digest = node.quarantine().digest();
     if digest != 0 {
-        send(node, socket, &Message::Rulings { digest }, addresses).await;
+        send(node, socket, &Message::RulingsDigest { digest }, addresses).await;
     }
 }
 
 /// Sends a node the suspicions that have no ruling yet, if this node is a reader of the store in
 /// its failure domain.
 async fn send_unruled_suspicions(node: &Node, socket: &UdpSocket, to: IpAddr) {
-    if lock(&node.members).reads(node.now()) {
+    if lock(&node.members).is_store_reader(node.now()) {
         let suspicions = node.quarantine().known();
         send_suspicions(node, socket, suspicions, &[to]).await;
     }
@@ -405,24 +410,24 @@
                 handle_heartbeat(&node, &socket, from.ip(), heartbeat).await;
                 let pause_ms = limits_ask_pause_ms(&node);
                 if differs && is_due(&mut limits_last_asked, pause_ms, node.now()) {
-                    send(&node, &socket, &Message::LimitsWanted, &[from.ip()]).await;
+                    send(&node, &socket, &Message::LimitsRequest, &[from.ip()]).await;
                 }
             }
             Ok(Message::Update { vm, usage }) => node.pool().update(vm, &usage),
-            Ok(Message::News { ends }) => {
-                lock(&node.members).hear_news(from.ip(), ends);
-                node.hear_of(ends);
+            Ok(Message::Offsets { offsets }) => {
+                lock(&node.members).record_offsets(from.ip(), offsets);
+                node.record_peer_offsets(offsets);
             }
-            Ok(Message::Words { vm, words }) => quarantine::hear(&node, vm, words),
-            Ok(Message::Rulings { digest }) => {
+            Ok(Message::Suspicions { vm, suspicions }) => quarantine::hear(&node, vm, suspicions),
+            Ok(Message::RulingsDigest { digest }) => {
                 if digest != node.quarantine().digest()
                     && is_due(&mut rulings_last_asked, ASK_PAUSE_MS, node.now())
                 {
-                    send(&node, &socket, &Message::RulingsWanted, &[from.ip()]).await;
+                    send(&node, &socket, &Message::RulingsRequest, &[from.ip()]).await;
                 }
             }
             Ok(Message::Limits { words }) => limit::hear(&node, &words, from.ip()),
-            Ok(Message::LimitsWanted) => {
+            Ok(Message::LimitsRequest) => {
                 let words = node.limits().words();
                 send_limits(&node, &socket, words, &[from.ip()]).await;
             }
@@ -439,7 +444,7 @@
             Ok(Message::GivenBack { subject, cost }) => {
                 node.desk(subject).hear_back(subject, cost);
             }
-            Ok(Message::RulingsWanted) => {
+            Ok(Message::RulingsRequest) => {
                 send_rulings(&node, &socket, from.ip()).await;
                 send_unruled_suspicions(&node, &socket, from.ip()).await;
             }
@@ -466,24 +471,24 @@
 
 /// Handles a heartbeat; a node that was silent before gets one in return at once.
 async fn handle_heartbeat(node: &Node, socket: &UdpSocket, from: IpAddr, heartbeat: Heartbeat) {
-    let receipt = lock(&node.members).hear(from, &heartbeat, node.now());
+    let receipt = lock(&node.members).record_heartbeat(from, &heartbeat, node.now());
     if let Some(ago_ms) = heartbeat.returned {
-        node.hear_returned(ago_ms);
+        node.record_peer_recovery(ago_ms);
     }
-    node.hear_of(heartbeat.ends);
+    node.record_peer_offsets(heartbeat.ends);
     if !node.behind(Topic::Operators) && !node.behind(Topic::Endpoints) {
-        node.refreshed();
+        node.mark_up_to_date();
     }
     {
         let mut pool = node.pool();
-        pool.hear(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.until);
-        pool.hear_changing(&heartbeat.changing, receipt.until);
+        pool.hear(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.expires_at);
+        pool.hear_changing(&heartbeat.changing, receipt.expires_at);
     }
     if receipt.newcomer {
         send(node, socket, &Message::Heartbeat(current_heartbeat(node)), &[from]).await;
         send_rulings_digest(node, socket, &[from]).await;
         // Either node may just have started and lack suspicions and rulings.
         send_unruled_suspicions(node, socket, from).await;
-        send(node, socket, &Message::RulingsWanted, &[from]).await;
+        send(node, socket, &Message::RulingsRequest, &[from]).await;
     }
 }
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -10,9 +10,9 @@
 use crate::event;
 use crate::history::Download;
 use crate::meter::Meter;
-use crate::mirror::{List, Part, Topic};
+use crate::mirror::{Batch, Snapshot, Topic};
 use crate::node::{Node, lock};
-use crate::peers::{PeerClient, Told};
+use crate::peers::{Answer, PeerClient};
 use crosslane_state::time::Millis;
 use log::{info, warn};
 use rand::Rng;
@@ -80,7 +80,7 @@
 impl<'a> Pull<'a> {
     fn new(node: &'a Node, topic: Topic, from: IpAddr) -> Self {
         let known = node.mirror().ends().of(topic);
-        let told = node.told.borrow().of(topic);
+        let told = node.peer_offsets.borrow().of(topic);
         Self { node, topic, from, known, told, began: node.now(), parts: 0, bytes: 0 }
     }
 
@@ -132,27 +132,29 @@
         0
     }
 
-    async fn endpoints(&mut self, list: &mut List) -> io::Result<Outcome> {
+    async fn endpoints(&mut self, snapshot: &mut Snapshot) -> io::Result<Outcome> {
         let peer = self.connect().await?;
         loop {
             let known = self.current_offset();
             if known >= self.told {
-                *list = List::default();
+                *snapshot = Snapshot::default();
                 return Ok(Outcome::Complete);
             }
-            let call = peer.endpoints(context::current(), known, list.after().cloned());
-            let part = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
-                Told::Some(part) => part,
-                Told::Busy => return Ok(Outcome::Busy),
-                Told::Nothing => return Ok(Outcome::Exhausted),
+            let call = peer.endpoints(context::current(), known, snapshot.after().cloned());
+            let batch = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
+                Answer::Data(batch) => batch,
+                Answer::Busy => return Ok(Outcome::Busy),
+                Answer::NothingNewer => return Ok(Outcome::Exhausted),
             };
-            self.count_part(part.len());
-            let change = match part {
-                Part::Recent { entries, end } => self.node.mirror().merge_recent(entries, end),
-                Part::Listed { entries, end, next } => match list.add(entries, end, next) {
-                    Some(list) => self.node.mirror().merge_list(list),
-                    None => continue,
-                },
+            self.count_part(batch.len());
+            let change = match batch {
+                Batch::Delta { entries, end } => self.node.mirror().merge_delta(entries, end),
+                Batch::SnapshotPage { entries, end, next } => {
+                    match snapshot.add_page(entries, end, next) {
+                        Some(snapshot) => self.node.mirror().merge_snapshot(snapshot),
+                        None => continue,
+                    }
+                }
             };
             self.node.apply(change, PEER_SOURCE);
             if self.current_offset() == known {
@@ -168,18 +170,18 @@
             if held >= self.told {
                 return Ok(Outcome::Complete);
             }
-            let call = peer.configuration(context::current(), download.wanted(held));
-            let piece = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
-                Told::Some(piece) => piece,
-                Told::Busy => return Ok(Outcome::Busy),
-                Told::Nothing => return Ok(Outcome::Exhausted),
+            let call = peer.configuration(context::current(), download.request(held));
+            let chunk = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
+                Answer::Data(chunk) => chunk,
+                Answer::Busy => return Ok(Outcome::Busy),
+                Answer::NothingNewer => return Ok(Outcome::Exhausted),
             };
-            self.count_part(piece.len());
-            if let Some(step) = download.take(piece) {
-                let merged = self.node.mirror().take_step(step);
-                let change = merged.inspect_err(|_| download.distrust())?;
+            self.count_part(chunk.len());
+            if let Some(patch) = download.add_chunk(chunk) {
+                let merged = self.node.mirror().apply_patch(patch);
+                let change = merged.inspect_err(|_| download.require_full())?;
                 self.node.apply(change, PEER_SOURCE);
-                self.node.gained.notify_one();
+                self.node.configuration_pulled.notify_one();
             }
         }
     }
@@ -188,7 +190,7 @@
 /// Pulls records of endpoints whenever this node is behind, forever.
 pub async fn follow_endpoints(node: Arc<Node>) {
     let topic = Topic::Endpoints;
-    let mut list = List::default();
+    let mut snapshot = Snapshot::default();
     let mut failed = None;
     let mut busy_in_a_row = 0;
     loop {
@@ -198,7 +200,7 @@
             continue;
         };
         let mut pull = Pull::new(&node, topic, from);
-        let result = pull.endpoints(&mut list).await;
+        let result = pull.endpoints(&mut snapshot).await;
         failed = result.is_err().then_some(from);
         busy_in_a_row = pull.finish(result, busy_in_a_row).await;
     }
@@ -215,7 +217,7 @@
         wait_until_behind(&node, topic).await;
         // Other nodes may offer another patch, so a download that has begun continues at the same
         // node.
-        let resumed = last.filter(|_| download.begun());
+        let resumed = last.filter(|_| download.has_started());
         let Some(from) = resumed.or_else(|| choose_source(&node, topic, failed.take())) else {
             sleep(RETRY_PAUSE).await;
             continue;
@@ -231,7 +233,7 @@
 /// Waits until another node announces newer data that the store has not returned in the time it
 /// gets.
 async fn wait_until_behind(node: &Node, topic: Topic) {
-    let mut told = node.told.subscribe();
+    let mut announced = node.peer_offsets.subscribe();
     loop {
         if node.behind(topic) {
             sleep(store_head_start(node, topic)).await;
@@ -240,7 +242,7 @@
             return;
         }
         // Never fails: the node owns the sender.
-        let _ = told.changed().await;
+        let _ = announced.changed().await;
     }
 }
 
@@ -248,9 +250,9 @@
 fn store_head_start(node: &Node, topic: Topic) -> Duration {
     let is_empty = node.mirror().ends().of(topic) == 0;
     match () {
-        () if node.store_lost() => Duration::ZERO,
+        () if node.last_store_call_failed() => Duration::ZERO,
         () if is_empty => FIRST_STORE_HEAD_START,
-        () if node.fed() => STORE_HEAD_START,
+        () if node.store_reachable() => STORE_HEAD_START,
         () => Duration::ZERO,
     }
 }
@@ -259,8 +261,8 @@
 /// possible. Random, so that not all nodes ask the same one.
 fn choose_source(node: &Node, topic: Topic, failed: Option<IpAddr>) -> Option<IpAddr> {
     let known = node.mirror().ends().of(topic);
-    let holders = lock(&node.members).holders(node.now(), failed, |ends| ends.of(topic) > known);
-    holders.choose(&mut rand::rng()).copied()
+    let sources = lock(&node.members).sources(node.now(), failed, |ends| ends.of(topic) > known);
+    sources.choose(&mut rand::rng()).copied()
 }
 
 fn random_duration(range_ms: Range<u64>) -> Duration {
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -78,7 +78,7 @@
     let mut failures = 0_u32;
     let mut initialised = false;
     loop {
-        if initialised && !lock(&node.members).reads(node.now()) {
+        if initialised && !lock(&node.members).is_store_reader(node.now()) {
             known = None;
             sleep(CHECK_INTERVAL).await;
             continue;
@@ -96,7 +96,7 @@
                 failures += 1;
             }
         }
-        node.rulings_read.store(true, Ordering::Relaxed);
+        node.rulings_read_tried.store(true, Ordering::Relaxed);
     }
 }
 
@@ -135,7 +135,7 @@
     loop {
         // A new ruling is written at once, since all nodes may be killed at the next moment.
         let _ = timeout(CHECK_INTERVAL, node.ruled.notified()).await;
-        let reader = lock(&node.members).reads(node.now());
+        let reader = lock(&node.members).is_store_reader(node.now());
         let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED_MS));
         for (request, ruling) in unsaved {
             match (Entry { request, ruling }).write(&mut client).await {
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -1,11 +1,11 @@
-//! Directory: which records name an endpoint to use, and what is told of the others.
+//! Which records of endpoints are used, and which are reported as invalid or stale.
 
 use bytes::Bytes;
 use crosslane_gateway::directory::Directory;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-/// A record of an endpoint that started so many milliseconds after 1970.
+/// Record of an endpoint that started so many milliseconds after 1970.
 fn record(born: u64, state: &str) -> Bytes {
     format!(
         r#"{{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":4,"state":"{state}","cold-remaining-ms":0,"sequence":4,"born":{born}}}"#
@@ -13,76 +13,85 @@
     .into()
 }
 
-fn unreadable() -> Bytes {
+fn invalid_record() -> Bytes {
     Bytes::from_static(b"\xff\xfe")
 }
 
-/// Changes of one endpoint's record, one after the other, beside another endpoint that stays.
+/// Successive records of one endpoint, beside another endpoint whose record stays.
 struct Case {
     name: &'static str,
     records: Vec<Option<Bytes>>,
-    /// Birth of the endpoint in use at the end, if any, and whether it leaves.
-    used: Option<(u64, bool)>,
-    /// Times that something was told of.
-    told: usize,
+    /// Start time of the endpoint in use at the end, if any, and whether it is draining.
+    in_use: Option<(u64, bool)>,
+    /// Number of reported records.
+    reported: usize,
 }
 
 #[rstest]
-#[case(Case { name: "as it is", records: vec![Some(record(5, "ready"))], used: Some((5, false)), told: 0 })]
+#[case(Case { name: "valid record", records: vec![Some(record(5, "ready"))], in_use: Some((5, false)), reported: 0 })]
 #[case(Case {
-    name: "born again",
+    name: "restarted",
     records: vec![Some(record(5, "draining")), Some(record(6, "ready"))],
-    used: Some((6, false)),
-    told: 0,
+    in_use: Some((6, false)),
+    reported: 0,
 })]
 #[case(Case {
-    name: "a former one's record comes late",
+    name: "record of an earlier incarnation arrives late",
     records: vec![Some(record(6, "ready")), Some(record(5, "draining"))],
-    used: Some((6, false)),
-    told: 1,
+    in_use: Some((6, false)),
+    reported: 1,
 })]
 #[case(Case {
-    name: "born again without its record having gone, then leaving",
+    name: "restarted without its record being deleted, then draining",
     records: vec![Some(record(5, "ready")), Some(record(6, "ready")), Some(record(6, "draining"))],
-    used: Some((6, true)),
-    told: 0,
+    in_use: Some((6, true)),
+    reported: 0,
 })]
-#[case(Case { name: "never readable", records: vec![Some(unreadable()); 3], used: None, told: 1 })]
+#[case(Case { name: "never valid", records: vec![Some(invalid_record()); 3], in_use: None, reported: 1 })]
 #[case(Case {
-    name: "overwritten by what can't be read",
-    records: vec![Some(record(5, "ready")), Some(unreadable())],
-    used: None,
-    told: 1,
+    name: "overwritten by an invalid record",
+    records: vec![Some(record(5, "ready")), Some(invalid_record())],
+    in_use: None,
+    reported: 1,
 })]
 #[case(Case {
-    name: "written anew after it",
-    records: vec![Some(record(5, "ready")), Some(unreadable()), Some(record(5, "ready"))],
-    used: Some((5, false)),
-    told: 1,
+    name: "valid again after an invalid record",
+    records: vec![Some(record(5, "ready")), Some(invalid_record()), Some(record(5, "ready"))],
+    in_use: Some((5, false)),
+    reported: 1,
 })]
 #[case(Case {
-    name: "a former one's after what can't be read",
-    records: vec![Some(record(6, "ready")), Some(unreadable()), Some(record(5, "ready"))],
-    used: None,
-    told: 2,
+    name: "record of an earlier incarnation after an invalid one",
+    records: vec![Some(record(6, "ready")), Some(invalid_record()), Some(record(5, "ready"))],
+    in_use: None,
+    reported: 2,
 })]
 #[case(Case {
-    name: "another state",
+    name: "unknown state",
     records: vec![Some(record(5, "ready")), Some(record(5, "sleeping"))],
-    used: None,
-    told: 1,
+    in_use: None,
+    reported: 1,
 })]
-#[case(Case { name: "gone", records: vec![Some(record(5, "ready")), None], used: None, told: 0 })]
-fn changes(#[case] case: Case) {
+#[case(Case { name: "deleted", records: vec![Some(record(5, "ready")), None], in_use: None, reported: 0 })]
+fn record_changes(#[case] case: Case) {
     let mut directory = Directory::default();
-    let mut told = 0;
+    let mut reported = 0;
     for bytes in &case.records {
         let mut records = BTreeMap::from([("other".to_owned(), record(1, "ready"))]);
-        records.extend(bytes.clone().map(|it| ("one".to_owned(), it)));
-        told += directory.take(records.iter()).len();
-        assert!(directory.endpoints().any(|it| it.id == "other"), "{}: the other holds", case.name);
+        records.extend(bytes.clone().map(|bytes| ("one".to_owned(), bytes)));
+        reported += directory.update(records.iter()).len();
+        assert!(
+            directory.endpoints().any(|endpoint| endpoint.id == "other"),
+            "{}: the other endpoint stays",
+            case.name
+        );
     }
-    let one = directory.endpoints().find(|it| it.id == "one");
-    assert_eq!(one.map(|it| (it.born, it.draining)), case.used, "{}", case.name);
-    assert_eq!(told, case.told, "{}", case.name);
+    let one = directory.endpoints().find(|endpoint| endpoint.id == "one");
+    assert_eq!(
+        one.map(|endpoint| (endpoint.born, endpoint.draining)),
+        case.in_use,
+        "{}",
+        case.name
+    );
+    assert_eq!(reported, case.reported, "{}", case.name);
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events are passed on whole, and the last one's id is known.
+//! Complete events are forwarded, and the id of the last one is known.
 
 use crosslane_gateway::events::Events;
 use rstest::rstest;
@@ -6,21 +6,22 @@
 struct Case {
     name: &'static str,
     pieces: &'static [&'static [u8]],
-    passed: &'static [u8],
-    last: Option<u64>,
+    forwarded: &'static [u8],
+    last_id: Option<u64>,
     partial: bool,
 }
 
 #[rstest]
-#[case(Case { name: "one", pieces: &[b"id: 1\ndata: a\n\n"], passed: b"id: 1\ndata: a\n\n", last: Some(1), partial: false })]
-#[case(Case { name: "cut in two", pieces: &[b"id: 1\nda", b"ta: a\n\n"], passed: b"id: 1\ndata: a\n\n", last: Some(1), partial: false })]
-#[case(Case { name: "cut between ends of line", pieces: &[b"id: 1\n", b"\n"], passed: b"id: 1\n\n", last: Some(1), partial: false })]
-#[case(Case { name: "second breaks off", pieces: &[b"id: 7\n\nid: 8\nda"], passed: b"id: 7\n\n", last: Some(7), partial: true })]
-#[case(Case { name: "two at once", pieces: &[b"id:1\n\nid:2\n\n"], passed: b"id:1\n\nid:2\n\n", last: Some(2), partial: false })]
-#[case(Case { name: "no id", pieces: &[b"data: a\n\n"], passed: b"data: a\n\n", last: None, partial: false })]
-fn cut_where_an_event_ends(#[case] case: Case) {
+#[case(Case { name: "one event", pieces: &[b"id: 1\ndata: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "split within an event", pieces: &[b"id: 1\nda", b"ta: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "split within the terminator", pieces: &[b"id: 1\n", b"\n"], forwarded: b"id: 1\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "second event incomplete", pieces: &[b"id: 7\n\nid: 8\nda"], forwarded: b"id: 7\n\n", last_id: Some(7), partial: true })]
+#[case(Case { name: "two events", pieces: &[b"id:1\n\nid:2\n\n"], forwarded: b"id:1\n\nid:2\n\n", last_id: Some(2), partial: false })]
+#[case(Case { name: "no id", pieces: &[b"data: a\n\n"], forwarded: b"data: a\n\n", last_id: None, partial: false })]
+fn complete_events_are_forwarded(#[case] case: Case) {
     let mut events = Events::default();
-    let whole: Vec<u8> = case.pieces.iter().filter_map(|it| events.push(it)).flatten().collect();
-    assert_eq!(whole, case.passed, "{}", case.name);
-    assert_eq!((events.last_id(), events.partial()), (case.last, case.partial), "{}", case.name);
+    let complete: Vec<u8> =
+        case.pieces.iter().filter_map(|piece| events.push(piece)).flatten().collect();
+    assert_eq!(complete, case.forwarded, "{}", case.name);
+    assert_eq!((events.last_id(), events.partial()), (case.last_id, case.partial), "{}", case.name);
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,9 +1,10 @@
-//! What a node believes of the engines' memory, against what is true, from small sites to the planned
-//! size, in virtual time.
+//! Virtual-time simulations of fleets, from small sites to the planned size: the memory usage of
+//! engines as a node computes it from other nodes' messages, and the number of nodes that call a
+//! store that is out.
 //!
-//! Every node has streams at engines of its failure domain, which begin, last and end; it tells them by
-//! heartbeats to all and at once to near nodes, some of which get lost. Nodes crash with their streams
-//! and start again.
+//! In the first, every node has streams at engines of its failure domain, which begin and end. It
+//! sends its usage in heartbeats to all nodes, and in updates to near nodes; some messages get
+//! lost. Nodes crash with their streams and restart.
 
 mod node;
 
@@ -11,7 +12,7 @@
 use crosslane_coordination::pool::Pool;
 use crosslane_coordination::usage::Usage;
 use crosslane_gateway::members::{Heartbeat, Members};
-use crosslane_gateway::mirror::Ends;
+use crosslane_gateway::mirror::Offsets;
 use crosslane_platform::settings::Settings;
 use crosslane_state::endpoint::{Endpoint, Stage, Tag};
 use crosslane_state::time::Millis;
@@ -23,46 +24,46 @@
 
 const SERVICE: &str = "drafts";
 
-/// Engine memory, and what a stream takes of it, in tokens.
-const CAPACITY: u64 = 45_000;
-const STREAM: u32 = 5_600;
+/// Memory of an engine, and what a stream takes of it, in tokens.
+const ENGINE_TOKENS: u64 = 45_000;
+const STREAM_TOKENS: u32 = 5_600;
 
-/// Time that a stream lasts, in milliseconds.
-const LASTS: std::ops::Range<u64> = 1_500..5_000;
+/// Duration of a stream, in milliseconds.
+const STREAM_MS: std::ops::Range<u64> = 1_500..5_000;
 
-/// Share of the memory that is taken in the mean.
-const TAKEN: f64 = 0.6;
+/// Mean share of the memory that is in use.
+const MEAN_USAGE: f64 = 0.6;
 
-/// Step of virtual time, and its end, in milliseconds.
-const STEP: u64 = 100;
-const END: u64 = 120_000;
+/// Step and end of virtual time, in milliseconds.
+const STEP_MS: u64 = 100;
+const END_MS: u64 = 120_000;
 
-/// Largest difference between believed and true memory, as a share of all of it: the streams that began and
-/// ended since the last heartbeat of another failure domain.
-const NEAR: f64 = 0.08;
+/// Maximum difference between computed and actual memory usage, as a share of all memory: that of
+/// the streams which began and ended since the last heartbeat of another failure domain.
+const MAX_ERROR: f64 = 0.08;
 
-/// Share of the messages that get lost.
-const LOST: f64 = 0.02;
+/// Share of messages that get lost.
+const LOSS_RATE: f64 = 0.02;
 
-/// Time for which a store is out, in milliseconds.
-const OUT: u64 = 4_000;
+/// Duration of a store outage, in milliseconds.
+const OUTAGE_MS: u64 = 4_000;
 
-/// When nodes crash, and for how long they are gone, in milliseconds.
-const CRASH: u64 = 60_000;
-const GONE: u64 = 1_000;
+/// Time of the crash of nodes, and their downtime, in milliseconds.
+const CRASH_AT_MS: u64 = 60_000;
+const DOWNTIME_MS: u64 = 1_000;
 
 fn domain(node: usize, domains: usize) -> String {
     format!("d{}", node % domains)
 }
 
-/// Engines, even over the failure domains.
+/// Engines, distributed evenly over the failure domains.
 fn engines(count: usize, domains: usize) -> Vec<Endpoint> {
-    let engine = |place: usize| Endpoint {
-        id: format!("e{place}"),
+    let engine = |index: usize| Endpoint {
+        id: format!("e{index}"),
         born: 1,
         service: SERVICE.into(),
         address: ([10, 0, 0, 1], 80).into(),
-        domain: domain(place, domains),
+        domain: domain(index, domains),
         slots: 12,
         stage: Stage::Decode,
         draining: false,
@@ -70,38 +71,38 @@
     (0..count).map(engine).collect()
 }
 
-/// Another node.
+/// A simulated node.
 struct Node {
     name: String,
     domain: String,
     near: bool,
-    /// Engine and end of each stream.
+    /// Engine and end time of each stream.
     streams: Vec<(Tag, u64)>,
-    /// Engines named in its last update.
-    named: HashSet<Tag>,
+    /// Engines in its last update.
+    updated: HashSet<Tag>,
     round: u64,
-    next: u64,
-    /// Until when it is gone.
-    gone: u64,
+    next_heartbeat: u64,
+    /// Time at which it is up again.
+    down_until: u64,
 }
 
 impl Node {
     fn usage(&self) -> Vec<(Tag, Usage)> {
         let mut usage: HashMap<Tag, Usage> = HashMap::new();
         for (engine, _) in &self.streams {
-            let has = usage.entry(*engine).or_default();
-            has.requests += 1;
-            has.tokens += STREAM;
+            let at_engine = usage.entry(*engine).or_default();
+            at_engine.requests += 1;
+            at_engine.tokens += STREAM_TOKENS;
         }
         usage.into_iter().collect()
     }
 
-    /// What changed at engines, those among them where it has nothing any more.
+    /// Usage of engines, with an empty one for those where it has nothing any more.
     fn update(&mut self) -> Vec<(Tag, Usage)> {
         let mut usage = self.usage();
-        let named = usage.iter().map(|it| it.0).collect();
-        let before = std::mem::replace(&mut self.named, named);
-        let ended = before.difference(&self.named).map(|it| (*it, Usage::default()));
+        let engines = usage.iter().map(|entry| entry.0).collect();
+        let before = std::mem::replace(&mut self.updated, engines);
+        let ended = before.difference(&self.updated).map(|engine| (*engine, Usage::default()));
         usage.extend(ended);
         usage
     }
@@ -114,7 +115,7 @@
             steady: true,
             fed: true,
             returned: None,
-            ends: Ends::default(),
+            ends: Offsets::default(),
             usage: self.usage(),
             changing: Vec::new(),
             limits: 0,
@@ -126,7 +127,7 @@
     nodes: usize,
     engines: usize,
     domains: usize,
-    /// Share of the nodes that crash at one moment.
+    /// Share of the nodes that crash at the same time.
     crash: f64,
 }
 
@@ -135,7 +136,7 @@
 #[case(Case { nodes: 61, engines: 140, domains: 4, crash: 0.3 })]
 #[case(Case { nodes: 295, engines: 256, domains: 5, crash: 0.3 })]
 #[case(Case { nodes: 780, engines: 2_000, domains: 8, crash: 0.3 })]
-fn believed_memory_is_near_the_true_one(#[case] case: Case) {
+fn computed_memory_usage_is_near_the_actual_one(#[case] case: Case) {
     let mut random = SmallRng::seed_from_u64(7);
     let engines = engines(case.engines, case.domains);
     let mut pool = Pool::new(domain(0, case.domains), SmallRng::seed_from_u64(1));
@@ -145,101 +146,110 @@
     let mut members = Members::new(&settings);
     let interval = Interval::among(case.nodes - 1);
     let mut nodes: Vec<Node> = (1..case.nodes)
-        .map(|place| Node {
-            name: format!("n{place}"),
-            domain: domain(place, case.domains),
-            near: case.nodes - 1 <= FEW || place % case.domains == 0,
+        .map(|index| Node {
+            name: format!("n{index}"),
+            domain: domain(index, case.domains),
+            near: case.nodes - 1 <= FEW || index % case.domains == 0,
             streams: Vec::new(),
-            named: HashSet::new(),
+            updated: HashSet::new(),
             round: 0,
-            next: random.random_range(0..interval.near),
-            gone: 0,
+            next_heartbeat: random.random_range(0..interval.near),
+            down_until: 0,
         })
         .collect();
-    let mean = (LASTS.start + LASTS.end) as f64 / 2.0;
-    let streams = TAKEN * case.engines as f64 * CAPACITY as f64 / f64::from(STREAM);
-    let begins = streams / mean * STEP as f64 / (case.nodes - 1) as f64;
-    // Until every node was heard often enough, and again after the crash.
-    let settles = 3 * interval.far + LASTS.end;
+    let mean = (STREAM_MS.start + STREAM_MS.end) as f64 / 2.0;
+    let streams =
+        MEAN_USAGE * case.engines as f64 * ENGINE_TOKENS as f64 / f64::from(STREAM_TOKENS);
+    let stream_probability = streams / mean * STEP_MS as f64 / (case.nodes - 1) as f64;
+    // Time until every node has been heard often enough, at the start and after the crash.
+    let settle_ms = 3 * interval.far + STREAM_MS.end;
     let mut errors = Vec::new();
-    for now in (0..END).step_by(STEP as usize) {
-        for (place, node) in nodes.iter_mut().enumerate() {
-            step(node, now, begins, &engines, &mut random);
-            if now == CRASH && random.random_bool(case.crash) {
+    for now in (0..END_MS).step_by(STEP_MS as usize) {
+        for (index, node) in nodes.iter_mut().enumerate() {
+            step(node, now, stream_probability, &engines, &mut random);
+            if now == CRASH_AT_MS && random.random_bool(case.crash) {
                 node.streams.clear();
-                node.gone = now + GONE;
+                node.down_until = now + DOWNTIME_MS;
             }
-            if now < node.gone {
+            if now < node.down_until {
                 continue;
             }
-            let lost = random.random_bool(LOST);
+            let lost = random.random_bool(LOSS_RATE);
             let update = node.update();
             if node.near && !lost {
                 pool.update(Tag::of(&node.name), &update);
             }
-            if now >= node.next {
-                node.next = now + interval.near;
+            if now >= node.next_heartbeat {
+                node.next_heartbeat = now + interval.near;
                 node.round += 1;
-                let told = node.near || node.round.is_multiple_of(FAR_EVERY);
-                if told && !lost {
+                let sent = node.near || node.round.is_multiple_of(FAR_EVERY);
+                if sent && !lost {
                     let heartbeat = node.heartbeat(interval);
-                    let word = members.hear(ip(place), &heartbeat, Millis(now));
-                    pool.hear(Tag::of(&node.name), heartbeat.usage, word.until);
+                    let receipt = members.record_heartbeat(ip(index), &heartbeat, Millis(now));
+                    pool.hear(Tag::of(&node.name), heartbeat.usage, receipt.expires_at);
                 }
             }
         }
         pool.expire(Millis(now));
-        let settled = (settles..CRASH).contains(&now) || now > CRASH + settles;
+        let settled = (settle_ms..CRASH_AT_MS).contains(&now) || now > CRASH_AT_MS + settle_ms;
         if settled {
-            let taken: usize = nodes.iter().map(|it| it.streams.len()).sum();
-            let truth = taken as f64 * f64::from(STREAM) / (case.engines as u64 * CAPACITY) as f64;
-            errors.push(pool.occupancy(SERVICE, CAPACITY) - truth);
+            let stream_count: usize = nodes.iter().map(|node| node.streams.len()).sum();
+            let actual = stream_count as f64 * f64::from(STREAM_TOKENS)
+                / (case.engines as u64 * ENGINE_TOKENS) as f64;
+            errors.push(pool.occupancy(SERVICE, ENGINE_TOKENS) - actual);
         }
     }
-    let worst = errors.iter().fold(0.0_f64, |worst, it| worst.max(it.abs()));
+    let worst = errors.iter().fold(0.0_f64, |worst, error| worst.max(error.abs()));
     let mean = errors.iter().sum::<f64>() / errors.len() as f64;
     println!("{} nodes: mean error {mean:.3}, worst {worst:.3}", case.nodes);
     assert!(
-        mean.abs() <= 0.01 && worst <= NEAR,
+        mean.abs() <= 0.01 && worst <= MAX_ERROR,
         "{} nodes: mean error {mean:.3}, worst {worst:.3}",
         case.nodes
     );
 }
 
-/// Streams end and begin, at engines of the node's failure domain.
-fn step(node: &mut Node, now: u64, begins: f64, engines: &[Endpoint], random: &mut SmallRng) {
-    node.streams.retain(|it| it.1 > now);
-    if now < node.gone || !random.random_bool(begins.min(1.0)) {
+/// Ends and begins streams, at engines of the node's failure domain.
+fn step(
+    node: &mut Node,
+    now: u64,
+    stream_probability: f64,
+    engines: &[Endpoint],
+    random: &mut SmallRng,
+) {
+    node.streams.retain(|stream| stream.1 > now);
+    if now < node.down_until || !random.random_bool(stream_probability.min(1.0)) {
         return;
     }
-    let own: Vec<&Endpoint> = engines.iter().filter(|it| it.domain == node.domain).collect();
+    let own: Vec<&Endpoint> =
+        engines.iter().filter(|engine| engine.domain == node.domain).collect();
     let engine = own[random.random_range(0..own.len())].tag();
-    node.streams.push((engine, now + random.random_range(LASTS)));
+    node.streams.push((engine, now + random.random_range(STREAM_MS)));
 }
 
-fn ip(place: usize) -> IpAddr {
-    IpAddr::from([127, 1, (place / 250) as u8, (place % 250) as u8 + 1])
+fn ip(index: usize) -> IpAddr {
+    IpAddr::from([127, 1, (index / 250) as u8, (index % 250) as u8 + 1])
 }
 
 struct Outage {
     nodes: usize,
     domains: usize,
-    /// Most nodes that ask the store.
-    ask: usize,
+    /// Maximum number of nodes that call the store.
+    max_callers: usize,
 }
 
-/// A store that is out for 4 s is asked by few of the nodes, not by all.
+/// A store that is out for 4 s gets calls from few of the nodes, not from all.
 #[rstest]
-#[case(Outage { nodes: 8, domains: 3, ask: 8 })]
-#[case(Outage { nodes: 61, domains: 4, ask: 37 })]
-#[case(Outage { nodes: 295, domains: 5, ask: 16 })]
-#[case(Outage { nodes: 780, domains: 8, ask: 16 })]
-fn a_store_that_is_out_is_asked_by_few(#[case] case: Outage) {
-    let name = |place: usize| format!("n{place:03}");
+#[case(Outage { nodes: 8, domains: 3, max_callers: 8 })]
+#[case(Outage { nodes: 61, domains: 4, max_callers: 37 })]
+#[case(Outage { nodes: 295, domains: 5, max_callers: 16 })]
+#[case(Outage { nodes: 780, domains: 8, max_callers: 16 })]
+fn a_store_that_is_out_is_called_by_few(#[case] case: Outage) {
+    let name = |index: usize| format!("n{index:03}");
     let mut nodes: Vec<Members> = (0..case.nodes)
-        .map(|place| {
-            let (vm, domain) = (name(place), domain(place, case.domains));
-            Members::new(&Settings { vm, domain, ip: ip(place), ..node::settings() })
+        .map(|index| {
+            let (vm, domain) = (name(index), domain(index, case.domains));
+            Members::new(&Settings { vm, domain, ip: ip(index), ..node::settings() })
         })
         .collect();
     let interval = Interval::among(case.nodes - 1);
@@ -248,23 +258,35 @@
             let heartbeat = Heartbeat {
                 vm: name(other),
                 domain: domain(other, case.domains),
-                interval: Interval { near: OUT * 2, far: OUT * 2 },
+                interval: Interval { near: OUTAGE_MS * 2, far: OUTAGE_MS * 2 },
                 steady: true,
                 fed: false,
                 returned: None,
-                ends: Ends::default(),
+                ends: Offsets::default(),
                 usage: Vec::new(),
                 changing: Vec::new(),
                 limits: 0,
             };
-            node.hear(ip(other), &heartbeat, Millis(0));
+            node.record_heartbeat(ip(other), &heartbeat, Millis(0));
         }
     }
-    let mut asked: HashSet<usize> = HashSet::new();
-    for now in (0..OUT).step_by(100) {
-        let reads = |(place, node): (usize, &mut Members)| node.reads(Millis(now)).then_some(place);
-        asked.extend(nodes.iter_mut().enumerate().filter_map(reads));
+    let mut callers: HashSet<usize> = HashSet::new();
+    for now in (0..OUTAGE_MS).step_by(100) {
+        let reads = |(index, node): (usize, &mut Members)| {
+            node.is_store_reader(Millis(now)).then_some(index)
+        };
+        callers.extend(nodes.iter_mut().enumerate().filter_map(reads));
     }
-    println!("{} nodes, heartbeats each {} ms: {} ask", case.nodes, interval.near, asked.len());
-    assert!(asked.len() <= case.ask, "{} of {} nodes ask", asked.len(), case.nodes);
+    println!(
+        "{} nodes, heartbeats each {} ms: {} call the store",
+        case.nodes,
+        interval.near,
+        callers.len()
+    );
+    assert!(
+        callers.len() <= case.max_callers,
+        "{} of {} nodes call the store",
+        callers.len(),
+        case.nodes
+    );
 }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -1,10 +1,10 @@
-//! Members: which nodes read the store and which gives orders, as heartbeats tell.
+//! Membership: which nodes read the store, which one gives orders, and which nodes get a message.
 
 mod node;
 
 use crosslane_coordination::heartbeat::Interval;
 use crosslane_gateway::members::{Heartbeat, Members, Scope};
-use crosslane_gateway::mirror::Ends;
+use crosslane_gateway::mirror::Offsets;
 use crosslane_state::time::Millis;
 use node::{DOMAIN, settings};
 use rstest::rstest;
@@ -14,62 +14,68 @@
 struct Other {
     vm: &'static str,
     domain: &'static str,
-    steady: bool,
-    fed: bool,
-    heard: u64,
-    /// Offset after the newest configuration that it knows.
-    knows: u64,
+    active: bool,
+    store_reachable: bool,
+    heartbeat_at: u64,
+    /// Offset after the newest configuration that the node has.
+    configuration_end: u64,
 }
 
-const OTHER: Other =
-    Other { vm: "n1", domain: DOMAIN, steady: true, fed: true, heard: 10_000, knows: 0 };
+const OTHER: Other = Other {
+    vm: "n1",
+    domain: DOMAIN,
+    active: true,
+    store_reachable: true,
+    heartbeat_at: 10_000,
+    configuration_end: 0,
+};
 
 struct Case {
     name: &'static str,
     others: &'static [Other],
     reads: bool,
-    first: bool,
+    leader: bool,
 }
 
 #[rstest]
-#[case(Case { name: "alone", others: &[], reads: true, first: true })]
-#[case(Case { name: "second", others: &[OTHER], reads: true, first: false })]
+#[case(Case { name: "alone", others: &[], reads: true, leader: true })]
+#[case(Case { name: "second by name", others: &[OTHER], reads: true, leader: false })]
 #[case(Case {
-    name: "third",
+    name: "third by name",
     others: &[OTHER, Other { vm: "n2", ..OTHER }],
     reads: false,
-    first: false,
+    leader: false,
 })]
 #[case(Case {
-    name: "both before it are silent",
-    others: &[Other { heard: 1_000, ..OTHER }, Other { vm: "n2", heard: 1_000, ..OTHER }],
+    name: "both nodes before it are silent",
+    others: &[Other { heartbeat_at: 1_000, ..OTHER }, Other { vm: "n2", heartbeat_at: 1_000, ..OTHER }],
     reads: true,
-    first: true,
+    leader: true,
 })]
 #[case(Case {
-    name: "one before it is stopping",
-    others: &[OTHER, Other { vm: "n2", steady: false, ..OTHER }],
+    name: "a node before it is stopping",
+    others: &[OTHER, Other { vm: "n2", active: false, ..OTHER }],
     reads: true,
-    first: false,
+    leader: false,
 })]
 #[case(Case {
-    name: "those before it are in another failure domain",
+    name: "the nodes before it are in another failure domain",
     others: &[Other { domain: "olten", ..OTHER }, Other { vm: "n2", domain: "olten", ..OTHER }],
     reads: true,
-    first: false,
+    leader: false,
 })]
 #[case(Case {
-    name: "those after it do not matter",
+    name: "only nodes after it",
     others: &[Other { vm: "n4", ..OTHER }, Other { vm: "n5", ..OTHER }],
     reads: true,
-    first: true,
+    leader: true,
 })]
-fn roles(#[case] case: Case) {
+fn reader_and_leader_roles(#[case] case: Case) {
     let mut members = Members::new(&settings());
-    hear(&mut members, case.others);
+    record_heartbeats(&mut members, case.others);
     let now = Millis(10_100);
-    assert_eq!(members.reads(now), case.reads, "{}", case.name);
-    assert_eq!(members.first(now), case.first, "{}", case.name);
+    assert_eq!(members.is_store_reader(now), case.reads, "{}", case.name);
+    assert_eq!(members.is_leader(now), case.leader, "{}", case.name);
 }
 
 fn heartbeat(other: &Other) -> Heartbeat {
@@ -77,21 +83,21 @@
         vm: other.vm.into(),
         domain: other.domain.into(),
         interval: Interval { near: 250, far: 250 },
-        steady: other.steady,
-        fed: other.fed,
+        steady: other.active,
+        fed: other.store_reachable,
         returned: None,
-        ends: Ends { configuration: other.knows, endpoints: 0 },
+        ends: Offsets { configuration: other.configuration_end, endpoints: 0 },
         usage: Vec::new(),
         changing: Vec::new(),
         limits: 0,
     }
 }
 
-fn hear(members: &mut Members, others: &[Other]) {
-    for (place, other) in others.iter().enumerate() {
+fn record_heartbeats(members: &mut Members, others: &[Other]) {
+    for (index, other) in others.iter().enumerate() {
         let heartbeat = heartbeat(other);
-        let ip = IpAddr::from([127, 0, 0, place as u8 + 2]);
-        members.hear(ip, &heartbeat, Millis(other.heard));
+        let ip = IpAddr::from([127, 0, 0, index as u8 + 2]);
+        members.record_heartbeat(ip, &heartbeat, Millis(other.heartbeat_at));
     }
 }
 
@@ -105,174 +111,174 @@
 
 #[rstest]
 #[case(Near { name: "alone", here: 0, elsewhere: 0, silent: 0, near: 0 })]
-#[case(Near { name: "few are all near", here: 3, elsewhere: 4, silent: 0, near: 7 })]
-#[case(Near { name: "silent ones are not told", here: 3, elsewhere: 0, silent: 4, near: 3 })]
-#[case(Near { name: "of many the own domain's", here: 20, elsewhere: 40, silent: 5, near: 20 })]
-fn who_is_told_at_once(#[case] case: Near) {
+#[case(Near { name: "all nodes of a small site are near", here: 3, elsewhere: 4, silent: 0, near: 7 })]
+#[case(Near { name: "silent nodes are left out", here: 3, elsewhere: 0, silent: 4, near: 3 })]
+#[case(Near { name: "in a large site, the own failure domain", here: 20, elsewhere: 40, silent: 5, near: 20 })]
+fn near_nodes_get_updates(#[case] case: Near) {
     let mut members = Members::new(&settings());
     let there = Other { domain: "olten", ..OTHER };
-    let silent = Other { heard: 0, ..OTHER };
+    let silent = Other { heartbeat_at: 0, ..OTHER };
     let others = [(case.here, OTHER), (case.elsewhere, there), (case.silent, silent)];
     let others: Vec<Other> =
         others.into_iter().flat_map(|(count, other)| vec![other; count]).collect();
-    hear(&mut members, &others);
+    record_heartbeats(&mut members, &others);
     assert_eq!(members.addresses(Scope::Near, Millis(10_100)).len(), case.near, "{}", case.name);
 }
 
 const THERE: Other = Other { domain: "olten", ..OTHER };
 
-struct Holders {
+struct Sources {
     name: &'static str,
     others: &'static [Other],
-    /// Whether the first of them then told of the newest configuration by itself.
-    news: bool,
-    /// Last part of the address of one that failed.
+    /// Whether the first of them then announced the newest configuration between heartbeats.
+    announced: bool,
+    /// Last part of the address of a node that failed.
     failed: Option<u8>,
-    /// Last parts of the addresses of those that are asked.
-    asked: &'static [u8],
+    /// Last parts of the addresses of the expected sources.
+    sources: &'static [u8],
 }
 
 #[rstest]
-#[case(Holders { name: "nobody knows more", others: &[OTHER, THERE], news: false, failed: None, asked: &[] })]
-#[case(Holders {
-    name: "the own domain first",
-    others: &[Other { knows: 5, ..THERE }, Other { knows: 5, ..OTHER }, Other { knows: 4, ..OTHER }],
-    news: false,
+#[case(Sources { name: "no node has a newer one", others: &[OTHER, THERE], announced: false, failed: None, sources: &[] })]
+#[case(Sources {
+    name: "own failure domain first",
+    others: &[Other { configuration_end: 5, ..THERE }, Other { configuration_end: 5, ..OTHER }, Other { configuration_end: 4, ..OTHER }],
+    announced: false,
     failed: None,
-    asked: &[3],
+    sources: &[3],
 })]
-#[case(Holders {
-    name: "another domain if need be",
-    others: &[Other { knows: 5, ..THERE }, OTHER],
-    news: false,
+#[case(Sources {
+    name: "another failure domain if there is none in the own one",
+    others: &[Other { configuration_end: 5, ..THERE }, OTHER],
+    announced: false,
     failed: None,
-    asked: &[2],
+    sources: &[2],
 })]
-#[case(Holders {
-    name: "not a silent one",
-    others: &[Other { knows: 5, heard: 0, ..OTHER }, Other { knows: 5, ..THERE }],
-    news: false,
+#[case(Sources {
+    name: "no silent node",
+    others: &[Other { configuration_end: 5, heartbeat_at: 0, ..OTHER }, Other { configuration_end: 5, ..THERE }],
+    announced: false,
     failed: None,
-    asked: &[3],
+    sources: &[3],
 })]
-#[case(Holders {
-    name: "one that told of it between heartbeats",
-    others: &[OTHER, Other { knows: 5, ..OTHER }],
-    news: true,
+#[case(Sources {
+    name: "announced between heartbeats",
+    others: &[OTHER, Other { configuration_end: 5, ..OTHER }],
+    announced: true,
     failed: None,
-    asked: &[2, 3],
+    sources: &[2, 3],
 })]
-#[case(Holders {
-    name: "another domain once the only one here failed",
-    others: &[Other { knows: 5, ..OTHER }, Other { knows: 5, ..THERE }],
-    news: false,
+#[case(Sources {
+    name: "another failure domain once the only node in the own one failed",
+    others: &[Other { configuration_end: 5, ..OTHER }, Other { configuration_end: 5, ..THERE }],
+    announced: false,
     failed: Some(2),
-    asked: &[3],
+    sources: &[3],
 })]
-fn who_is_asked_for_a_newer_configuration(#[case] case: Holders) {
+fn sources_of_a_newer_configuration(#[case] case: Sources) {
     let mut members = Members::new(&settings());
-    hear(&mut members, case.others);
-    if case.news {
-        let ends = Ends { configuration: 5, endpoints: 0 };
-        members.hear_news(IpAddr::from([127, 0, 0, 2]), ends);
+    record_heartbeats(&mut members, case.others);
+    if case.announced {
+        let ends = Offsets { configuration: 5, endpoints: 0 };
+        members.record_offsets(IpAddr::from([127, 0, 0, 2]), ends);
     }
-    let failed = case.failed.map(|it| IpAddr::from([127, 0, 0, it]));
-    let mut asked = members.holders(Millis(10_100), failed, |it| it.configuration >= 5);
-    asked.sort();
+    let failed = case.failed.map(|last| IpAddr::from([127, 0, 0, last]));
+    let mut sources = members.sources(Millis(10_100), failed, |ends| ends.configuration >= 5);
+    sources.sort();
     let expected: Vec<IpAddr> =
-        case.asked.iter().map(|it| IpAddr::from([127, 0, 0, *it])).collect();
-    assert_eq!(asked, expected, "{}", case.name);
+        case.sources.iter().map(|last| IpAddr::from([127, 0, 0, *last])).collect();
+    assert_eq!(sources, expected, "{}", case.name);
 }
 
-struct Counted {
+struct Sharers {
     name: &'static str,
-    /// When this node looks, from its start, in milliseconds.
+    /// Time since the start of this node, in milliseconds.
     now: u64,
-    /// When the others were heard last, if ever, and the time to their next heartbeats.
-    heard: Option<u64>,
+    /// Time of the last heartbeat of the others, if any, and the interval of their heartbeats.
+    heartbeat_at: Option<u64>,
     interval: u64,
     count: usize,
 }
 
-/// Ten others besides this node.
+/// Ten nodes besides this one.
 #[rstest]
-#[case(Counted { name: "just heard", now: 30_000, heard: Some(30_000), interval: 250, count: 11 })]
-#[case(Counted { name: "silent, but what they spent counts", now: 30_000, heard: Some(20_100), interval: 250, count: 11 })]
-#[case(Counted { name: "silent for longer", now: 30_000, heard: Some(19_000), interval: 250, count: 1 })]
-#[case(Counted { name: "a slow heartbeat is due later", now: 30_000, heard: Some(14_000), interval: 17_500, count: 11 })]
-#[case(Counted { name: "not heard yet, just started", now: 500, heard: None, interval: 250, count: 11 })]
-#[case(Counted { name: "never heard", now: 30_000, heard: None, interval: 250, count: 1 })]
-fn who_spends_from_the_retry_budget(#[case] case: Counted) {
+#[case(Sharers { name: "live", now: 30_000, heartbeat_at: Some(30_000), interval: 250, count: 11 })]
+#[case(Sharers { name: "silent, within the window", now: 30_000, heartbeat_at: Some(20_100), interval: 250, count: 11 })]
+#[case(Sharers { name: "silent for longer than the window", now: 30_000, heartbeat_at: Some(19_000), interval: 250, count: 1 })]
+#[case(Sharers { name: "long heartbeat interval", now: 30_000, heartbeat_at: Some(14_000), interval: 17_500, count: 11 })]
+#[case(Sharers { name: "no heartbeat yet, just started", now: 500, heartbeat_at: None, interval: 250, count: 11 })]
+#[case(Sharers { name: "no heartbeat yet, after the first window", now: 30_000, heartbeat_at: None, interval: 250, count: 1 })]
+fn nodes_that_share_the_retry_budget(#[case] case: Sharers) {
     let mut members = Members::new(&settings());
-    for place in 0..10 {
-        let ip = IpAddr::from([127, 0, 0, place + 2]);
+    for index in 0..10 {
+        let ip = IpAddr::from([127, 0, 0, index + 2]);
         members.add(ip);
-        if let Some(at) = case.heard {
+        if let Some(at) = case.heartbeat_at {
             let interval = Interval { near: case.interval, far: case.interval };
             let heartbeat = Heartbeat { interval, ..heartbeat(&OTHER) };
-            members.hear(ip, &heartbeat, Millis(at));
+            members.record_heartbeat(ip, &heartbeat, Millis(at));
         }
     }
-    assert_eq!(members.count(Millis(case.now)), case.count, "{}", case.name);
+    assert_eq!(members.retry_budget_sharers(Millis(case.now)), case.count, "{}", case.name);
 }
 
 #[rstest]
-fn nodes_that_are_found_are_told_once() {
+fn added_nodes_are_announced_once() {
     let mut members = Members::new(&settings());
     let ip = IpAddr::from([127, 0, 0, 9]);
     members.add(ip);
-    assert!(members.take_found());
+    assert!(members.take_unannounced());
     members.add(ip);
-    assert!(!members.take_found(), "it was found before");
+    assert!(!members.take_unannounced(), "it was added before");
     members.add("127.0.0.1".parse().unwrap());
-    assert!(!members.take_found(), "this node itself");
+    assert!(!members.take_unannounced(), "this node itself");
 }
 
 struct Takeover {
     name: &'static str,
-    /// Nodes before this one, by whether the store answers them.
+    /// Nodes before this one by name; whether the store answers their reads.
     before: &'static [bool],
-    /// Time from the first look to the moment at which this node begins to read, in milliseconds.
-    reads_after: Option<u64>,
+    /// Time after the first check at which this node begins to read, in milliseconds.
+    reads_after_ms: Option<u64>,
 }
 
-/// Readers that the store turns away are replaced one by one.
+/// Readers whose calls the store rejects are replaced one by one.
 #[rstest]
-#[case(Takeover { name: "first two", before: &[false], reads_after: Some(0) })]
-#[case(Takeover { name: "both read", before: &[true, true], reads_after: None })]
-#[case(Takeover { name: "one is turned away", before: &[true, false], reads_after: Some(500) })]
-#[case(Takeover { name: "both are", before: &[false, false], reads_after: Some(500) })]
-#[case(Takeover { name: "the one before this one is next", before: &[false, false, false], reads_after: Some(1_000) })]
-#[case(Takeover { name: "others took over", before: &[false, false, true, true], reads_after: None })]
-#[case(Takeover { name: "many", before: &[false; 9], reads_after: Some(4_000) })]
-fn readers_turned_away(#[case] case: Takeover) {
+#[case(Takeover { name: "second by name", before: &[false], reads_after_ms: Some(0) })]
+#[case(Takeover { name: "both readers read", before: &[true, true], reads_after_ms: None })]
+#[case(Takeover { name: "one reader is rejected", before: &[true, false], reads_after_ms: Some(500) })]
+#[case(Takeover { name: "both readers are rejected", before: &[false, false], reads_after_ms: Some(500) })]
+#[case(Takeover { name: "another node takes over first", before: &[false, false, false], reads_after_ms: Some(1_000) })]
+#[case(Takeover { name: "two other nodes took over", before: &[false, false, true, true], reads_after_ms: None })]
+#[case(Takeover { name: "seven other nodes take over first", before: &[false; 9], reads_after_ms: Some(4_000) })]
+fn rejected_readers_are_replaced(#[case] case: Takeover) {
     let mut members = Members::new(&settings());
-    let looks = (0..6_000).step_by(100);
-    let reads = looks.into_iter().find(|after| {
-        let now = 10_000 + after;
-        for (place, fed) in case.before.iter().enumerate() {
-            let other = Other { fed: *fed, heard: now, ..OTHER };
-            members.hear(
-                IpAddr::from([127, 0, 0, place as u8 + 2]),
+    let checks = (0..6_000).step_by(100);
+    let reads = checks.into_iter().find(|after_ms| {
+        let now = 10_000 + after_ms;
+        for (index, reachable) in case.before.iter().enumerate() {
+            let other = Other { store_reachable: *reachable, heartbeat_at: now, ..OTHER };
+            members.record_heartbeat(
+                IpAddr::from([127, 0, 0, index as u8 + 2]),
                 &heartbeat(&other),
                 Millis(now),
             );
         }
-        members.reads(Millis(now))
+        members.is_store_reader(Millis(now))
     });
-    assert_eq!(reads, case.reads_after, "{}", case.name);
+    assert_eq!(reads, case.reads_after_ms, "{}", case.name);
 }
 
 #[rstest]
-fn a_newcomer_of_the_own_failure_domain_is_told_at_once() {
+fn a_newcomer_is_answered_at_once_in_its_own_failure_domain() {
     let mut members = Members::new(&settings());
-    (0..40).for_each(|it| members.add(IpAddr::from([127, 0, 1, it])));
-    let mut hear = |other: &Other, at: u64| {
+    (0..40).for_each(|last| members.add(IpAddr::from([127, 0, 1, last])));
+    let mut is_newcomer = |other: &Other, at: u64| {
         let ip = IpAddr::from([127, 0, 0, if other.domain == DOMAIN { 2 } else { 3 }]);
-        members.hear(ip, &heartbeat(other), Millis(at)).newcomer
+        members.record_heartbeat(ip, &heartbeat(other), Millis(at)).newcomer
     };
-    assert!(hear(&OTHER, 1_000));
-    assert!(!hear(&OTHER, 1_250), "known");
-    assert!(hear(&OTHER, 9_000), "it was silent");
-    assert!(!hear(&THERE, 9_000), "another failure domain, among many");
+    assert!(is_newcomer(&OTHER, 1_000));
+    assert!(!is_newcomer(&OTHER, 1_250), "live before");
+    assert!(is_newcomer(&OTHER, 9_000), "it was silent");
+    assert!(!is_newcomer(&THERE, 9_000), "another failure domain in a large site");
 }
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -1,48 +1,50 @@
-//! Mirror: nodes that read and nodes that are told hold the same, and never go back.
+//! Replica of the store: nodes that read the store and nodes that pull from others end up with the
+//! same data, and never go back to older data.
 
 use bytes::Bytes;
 use crosslane_gateway::history::Download;
-use crosslane_gateway::mirror::{Change, List, Mirror, Part, Topic};
+use crosslane_gateway::mirror::{Batch, Change, Mirror, Snapshot, Topic};
 use crosslane_platform::store::{CONFIGURATION, Page, Record};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 
-/// Records at their offsets, from an offset on.
+/// Records with consecutive offsets, from an offset on.
 fn numbered(from: u64, records: impl IntoIterator<Item = (u64, Option<u64>)>) -> Vec<Record> {
     let record = |(offset, (key, value)): (u64, (u64, Option<u64>))| Record {
         offset,
         key: format!("e{key}"),
-        value: value.map(|it| Bytes::from(it.to_string())),
+        value: value.map(|value| Bytes::from(value.to_string())),
     };
     (from..).zip(records).map(record).collect()
 }
 
-fn held(mirror: &Mirror) -> Vec<(String, Bytes)> {
+fn records_of(mirror: &Mirror) -> Vec<(String, Bytes)> {
     mirror.endpoints().map(|(id, value)| (id.clone(), value.clone())).collect()
 }
 
-/// What a log of records holds up to an offset.
+/// Data of a log of records up to an offset.
 fn expected(log: &[Record], end: u64) -> Vec<(String, Bytes)> {
     let mut mirror = Mirror::default();
     let records = log[..end as usize].to_vec();
     mirror.take(Topic::Endpoints, Page { records, end }, Some(0));
-    held(&mirror)
+    records_of(&mirror)
 }
 
-/// Takes what another node sends, all pages of a list at once; the entries that came.
+/// Pulls once from another node, all pages of a snapshot together; returns the number of entries
+/// received.
 fn pull(node: &mut Mirror, ahead: &Mirror, from: u64) -> (usize, Change) {
-    let mut list = List::default();
-    let mut came = 0;
+    let mut snapshot = Snapshot::default();
+    let mut received = 0;
     loop {
-        match ahead.part(from, list.after().map(String::as_str)) {
-            Part::Recent { entries, end } => {
-                return (entries.len(), node.merge_recent(entries, end));
+        match ahead.batch(from, snapshot.after().map(String::as_str)) {
+            Batch::Delta { entries, end } => {
+                return (entries.len(), node.merge_delta(entries, end));
             }
-            Part::Listed { entries, end, next } => {
-                came += entries.len();
-                if let Some(list) = list.add(entries, end, next) {
-                    return (came, node.merge_list(list));
+            Batch::SnapshotPage { entries, end, next } => {
+                received += entries.len();
+                if let Some(snapshot) = snapshot.add_page(entries, end, next) {
+                    return (received, node.merge_snapshot(snapshot));
                 }
             }
         }
@@ -55,7 +57,7 @@
 #[case(2)]
 #[case(3)]
 #[case(4)]
-fn any_mix_of_reading_and_pulling_holds_the_log(#[case] seed: u64) {
+fn any_mix_of_reading_and_pulling_replicates_the_log(#[case] seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut log = Vec::new();
     let mut nodes: Vec<Mirror> = (0..4).map(|_| Mirror::default()).collect();
@@ -76,11 +78,11 @@
                 let (from, to) = (random.random_range(0..4), random.random_range(0..4));
                 let before = nodes[to].end(Topic::Endpoints);
                 if from == to {
-                    // A node that is sent what it knows itself takes nothing from it.
-                    let Part::Recent { entries, end } = nodes[to].part(before, None) else {
-                        panic!("a list for a node that lacks nothing");
+                    // A node that pulls what it already has changes nothing.
+                    let Batch::Delta { entries, end } = nodes[to].batch(before, None) else {
+                        panic!("snapshot for a node that is up to date");
                     };
-                    assert!(!nodes[to].merge_recent(entries, end).endpoints);
+                    assert!(!nodes[to].merge_delta(entries, end).endpoints);
                 } else {
                     let mut node = std::mem::take(&mut nodes[to]);
                     pull(&mut node, &nodes[from], before);
@@ -90,13 +92,13 @@
             }
         }
         for node in &nodes {
-            assert_eq!(held(node), expected(&log, node.end(Topic::Endpoints)));
+            assert_eq!(records_of(node), expected(&log, node.end(Topic::Endpoints)));
         }
     }
 }
 
 #[rstest]
-fn a_read_that_another_node_overtook_undoes_nothing() {
+fn a_late_read_does_not_undo_newer_data() {
     let log = numbered(0, [(1, Some(1)), (1, Some(2)), (1, Some(3))]);
     let page = |from: usize, to: usize| Page { records: log[from..to].to_vec(), end: to as u64 };
     let mut ahead = Mirror::default();
@@ -106,81 +108,83 @@
     pull(&mut node, &ahead, 1);
     let change = node.take(Topic::Endpoints, page(1, 2), Some(1));
     assert!(!change.endpoints);
-    assert_eq!(held(&node), expected(&log, 3));
+    assert_eq!(records_of(&node), expected(&log, 3));
 }
 
 #[rstest]
-fn a_part_that_does_not_reach_back_far_enough_is_left_out() {
+fn a_delta_with_a_gap_before_it_is_ignored() {
     let mut ahead = Mirror::default();
     let page = |records: Vec<Record>, end| Page { records, end };
     ahead.take(Topic::Endpoints, page(numbered(9, [(1, Some(1))]), 10), None);
     ahead.take(Topic::Endpoints, page(numbered(10, [(2, Some(2))]), 11), Some(10));
     let mut node = Mirror::default();
-    // Asked on behalf of a node that had read more.
-    assert!(!pull(&mut node, &ahead, 10).1.endpoints && held(&node).is_empty());
+    // The request names a higher offset than the node has.
+    assert!(!pull(&mut node, &ahead, 10).1.endpoints && records_of(&node).is_empty());
     pull(&mut node, &ahead, 0);
-    assert_eq!(held(&node).len(), 2);
+    assert_eq!(records_of(&node).len(), 2);
 }
 
 struct Behind {
     name: &'static str,
     end: u64,
     from: u64,
-    whole: bool,
+    full: bool,
 }
 
 #[rstest]
-#[case(Behind { name: "while the endpoints of 300 nodes' site start", end: 6_000, from: 1_000, whole: false })]
-#[case(Behind { name: "a little", end: 40_000, from: 39_990, whole: false })]
-#[case(Behind { name: "by more than is kept", end: 40_000, from: 1_000, whole: true })]
-fn what_a_node_that_is_behind_is_sent(#[case] case: Behind) {
+#[case(Behind { name: "start of the endpoints of a site with 300 nodes", end: 6_000, from: 1_000, full: false })]
+#[case(Behind { name: "a few records", end: 40_000, from: 39_990, full: false })]
+#[case(Behind { name: "more records than are kept", end: 40_000, from: 1_000, full: true })]
+fn records_for_a_node_that_is_behind(#[case] case: Behind) {
     let mut mirror = Mirror::default();
-    let records = |from: u64, to: u64| numbered(from, (from..to).map(|it| (it % 5_000, Some(it))));
+    let records = |from: u64, to: u64| {
+        numbered(from, (from..to).map(|number| (number % 5_000, Some(number))))
+    };
     mirror.take(Topic::Endpoints, Page { records: records(0, 10), end: 10 }, None);
     mirror.take(Topic::Endpoints, Page { records: records(10, case.end), end: case.end }, Some(10));
     let mut node = Mirror::default();
     node.take(Topic::Endpoints, Page { records: records(0, case.from), end: case.from }, Some(0));
-    let (mut sent, mut parts, mut whole) = (0, 0, false);
+    let (mut sent, mut batches, mut full) = (0, 0, false);
     while node.end(Topic::Endpoints) < case.end {
         let from = node.end(Topic::Endpoints);
-        whole |= matches!(mirror.part(from, None), Part::Listed { .. });
-        let (came, change) = pull(&mut node, &mirror, from);
-        sent += came;
-        parts += 1;
+        full |= matches!(mirror.batch(from, None), Batch::SnapshotPage { .. });
+        let (received, change) = pull(&mut node, &mirror, from);
+        sent += received;
+        batches += 1;
         assert!(change.endpoints, "{}", case.name);
     }
-    assert_eq!(held(&node), held(&mirror), "{}", case.name);
-    let expected = if case.whole { 5_000 } else { (case.end - case.from) as usize };
-    assert_eq!((whole, sent), (case.whole, expected), "{}", case.name);
-    assert_eq!(parts > 1, !case.whole && sent > 5_000 / 2, "{}", case.name);
+    assert_eq!(records_of(&node), records_of(&mirror), "{}", case.name);
+    let expected = if case.full { 5_000 } else { (case.end - case.from) as usize };
+    assert_eq!((full, sent), (case.full, expected), "{}", case.name);
+    assert_eq!(batches > 1, !case.full && sent > 5_000 / 2, "{}", case.name);
 }
 
-/// No answer is longer than what a slow link carries in a moment.
+/// The size of an answer is bounded, so that a slow link carries it in a moment.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn what_is_sent_at_once_is_bounded(#[case] listed: bool) {
+fn the_size_of_an_answer_is_bounded(#[case] as_snapshot: bool) {
     let mut ahead = Mirror::default();
-    let records = numbered(0, (0..8_000).map(|it| (it, Some(it))));
-    let from = (!listed).then_some(0);
+    let records = numbered(0, (0..8_000).map(|number| (number, Some(number))));
+    let from = (!as_snapshot).then_some(0);
     ahead.take(Topic::Endpoints, Page { records, end: 8_000 }, from);
     let mut after = None;
     let mut from = 0;
     for _ in 0..8_000 {
-        let part = ahead.part(from, after.as_deref());
-        assert!(part.len() < 33_000);
-        match part {
-            Part::Recent { end, .. } => from = end,
-            Part::Listed { next, .. } => after = next,
+        let batch = ahead.batch(from, after.as_deref());
+        assert!(batch.len() < 33_000);
+        match batch {
+            Batch::Delta { end, .. } => from = end,
+            Batch::SnapshotPage { next, .. } => after = next,
         }
-        if from == 8_000 || (listed && after.is_none()) {
+        if from == 8_000 || (as_snapshot && after.is_none()) {
             return;
         }
     }
-    panic!("it never ended");
+    panic!("the transfer never completed");
 }
 
-/// A configuration of some routes that do not compress well, of which one has changed.
+/// A configuration with its version at both ends, and random routes between, which compress badly.
 fn text(version: u64, routes: u64) -> Bytes {
     let mut random = SmallRng::seed_from_u64(3);
     let mut route = |_| format!("{:032x}", random.random::<u128>());
@@ -194,13 +198,14 @@
     mirror.take(Topic::Operators, Page { records: vec![record], end: offset + 1 }, Some(offset));
 }
 
-/// Takes pieces from a node until it knows nothing newer; the bytes that came.
+/// Pulls the configuration until the other node has nothing newer; returns the number of bytes
+/// received.
 fn catch_up(node: &mut Mirror, ahead: &mut Mirror, download: &mut Download) -> usize {
     let mut bytes = 0;
-    while let Some(piece) = ahead.piece(download.wanted(node.ends().configuration)).unwrap() {
-        bytes += piece.len();
-        if let Some(step) = download.take(piece) {
-            node.take_step(step).unwrap();
+    while let Some(chunk) = ahead.chunk(download.request(node.ends().configuration)).unwrap() {
+        bytes += chunk.len();
+        if let Some(patch) = download.add_chunk(chunk) {
+            node.apply_patch(patch).unwrap();
         }
     }
     bytes
@@ -208,22 +213,22 @@
 
 struct Versions {
     name: &'static str,
-    /// Routes of the versions that the node behind knows.
+    /// Numbers of routes of the versions that the node behind has.
     known: &'static [u64],
-    /// Routes of those that it does not.
+    /// Numbers of routes of the versions that it lacks.
     new: &'static [u64],
-    /// Most bytes that it is sent.
+    /// Maximum number of bytes that it receives.
     bytes: usize,
 }
 
 #[rstest]
-#[case(Versions { name: "nothing but the version", known: &[4_000], new: &[4_000], bytes: 200 })]
+#[case(Versions { name: "only the version changed", known: &[4_000], new: &[4_000], bytes: 200 })]
 #[case(Versions { name: "routes added", known: &[3_000], new: &[4_000], bytes: 30_000 })]
-#[case(Versions { name: "routes taken away", known: &[4_000], new: &[2_000], bytes: 200 })]
+#[case(Versions { name: "routes removed", known: &[4_000], new: &[2_000], bytes: 200 })]
 #[case(Versions { name: "two versions behind", known: &[3_000], new: &[4_000, 4_000], bytes: 30_000 })]
-#[case(Versions { name: "nothing known", known: &[], new: &[100, 4_000], bytes: 100_000 })]
-#[case(Versions { name: "further behind than is kept", known: &[4_000], new: &[4_001; 60], bytes: 100_000 })]
-fn a_node_that_is_behind_gets_what_changed(#[case] case: Versions) {
+#[case(Versions { name: "no version", known: &[], new: &[100, 4_000], bytes: 100_000 })]
+#[case(Versions { name: "more versions behind than are kept", known: &[4_000], new: &[4_001; 60], bytes: 100_000 })]
+fn a_node_that_is_behind_gets_patches(#[case] case: Versions) {
     let mut ahead = Mirror::default();
     let mut node = Mirror::default();
     let versions = case.known.iter().chain(case.new);
@@ -240,19 +245,19 @@
     assert!(sent <= case.bytes, "{}: {sent} bytes", case.name);
 }
 
-/// A transfer that takes longer than the next change is away still ends.
+/// A transfer completes even if it takes longer than the time between two changes.
 #[rstest]
-fn a_whole_version_arrives_though_newer_ones_come_with_every_piece() {
+fn a_full_version_arrives_while_newer_ones_come_with_every_chunk() {
     let mut ahead = Mirror::default();
     publish(&mut ahead, 0, text(0, 8_000));
     let mut node = Mirror::default();
     let mut download = Download::default();
     for offset in 1..30 {
-        let wanted = download.wanted(node.ends().configuration);
-        if let Some(piece) = ahead.piece(wanted).unwrap()
-            && let Some(step) = download.take(piece)
+        let request = download.request(node.ends().configuration);
+        if let Some(chunk) = ahead.chunk(request).unwrap()
+            && let Some(patch) = download.add_chunk(chunk)
         {
-            node.take_step(step).unwrap();
+            node.apply_patch(patch).unwrap();
         }
         publish(&mut ahead, offset, text(offset, 8_000));
     }
@@ -260,44 +265,44 @@
 }
 
 #[rstest]
-fn a_transfer_that_stalled_goes_on_at_another_node() {
+fn a_stalled_transfer_continues_at_another_node() {
     let mut nodes: Vec<Mirror> = (0..2).map(|_| Mirror::default()).collect();
     for ahead in &mut nodes {
         publish(ahead, 0, text(0, 8_000));
     }
     let mut node = Mirror::default();
     let mut download = Download::default();
-    let piece = nodes[0].piece(download.wanted(0)).unwrap().unwrap();
-    let first = piece.len();
-    assert!(download.take(piece).is_none());
-    let rest = catch_up(&mut node, &mut nodes[1], &mut download);
+    let chunk = nodes[0].chunk(download.request(0)).unwrap().unwrap();
+    let first = chunk.len();
+    assert!(download.add_chunk(chunk).is_none());
+    let remaining = catch_up(&mut node, &mut nodes[1], &mut download);
     assert_eq!(node.configuration(), nodes[1].configuration());
     let mut fresh = Mirror::default();
-    let whole = catch_up(&mut fresh, &mut nodes[1], &mut Download::default());
-    assert_eq!(first + rest, whole);
+    let complete = catch_up(&mut fresh, &mut nodes[1], &mut Download::default());
+    assert_eq!(first + remaining, complete);
 }
 
-/// A step that was made from another text is refused, and a whole version asked for.
+/// A patch of another base text is rejected, and a full version requested.
 #[rstest]
-fn a_step_that_does_not_fit_is_not_taken() {
+fn a_patch_of_another_base_is_rejected() {
     let mut ahead = Mirror::default();
     let mut node = Mirror::default();
     publish(&mut ahead, 0, text(0, 2_000));
     publish(&mut node, 0, Bytes::from_static(b"something else"));
     publish(&mut ahead, 1, text(1, 2_000));
     let mut download = Download::default();
-    let piece = ahead.piece(download.wanted(1)).unwrap().unwrap();
-    let step = download.take(piece).expect("a small step comes in one piece");
-    assert!(node.take_step(step).is_err());
+    let chunk = ahead.chunk(download.request(1)).unwrap().unwrap();
+    let patch = download.add_chunk(chunk).expect("a small patch fits one chunk");
+    assert!(node.apply_patch(patch).is_err());
     assert_eq!(node.configuration(), Some(&Bytes::from_static(b"something else")));
-    download.distrust();
+    download.require_full();
     catch_up(&mut node, &mut ahead, &mut download);
     assert_eq!(node.configuration(), ahead.configuration());
 }
 
-/// A read of the store that comes late does not undo what another node told meanwhile.
+/// A late answer of the store does not undo newer data from another node.
 #[rstest]
-fn a_version_that_was_overtaken_is_not_taken_again() {
+fn an_older_version_is_not_applied() {
     let mut ahead = Mirror::default();
     publish(&mut ahead, 0, text(0, 100));
     publish(&mut ahead, 1, text(1, 100));
@@ -310,11 +315,11 @@
     assert_eq!(node.configuration(), ahead.configuration());
 }
 
-/// Pages of a list may come from several nodes, of which one knows more than the other.
+/// Pages of a snapshot may come from several nodes with different offsets.
 #[rstest]
-fn a_list_is_gone_on_with_at_another_node() {
-    let start = |it: u64| (it % 6_000, Some(it));
-    let log = numbered(0, (0..40_000).map(start));
+fn a_snapshot_continues_at_another_node() {
+    let record = |number: u64| (number % 6_000, Some(number));
+    let log = numbered(0, (0..40_000).map(record));
     let read = |end: u64| {
         let mut node = Mirror::default();
         let records = log[..end as usize].to_vec();
@@ -322,23 +327,24 @@
         node
     };
     let nodes = [39_000, 40_000].map(read);
-    let mut list = List::default();
+    let mut snapshot = Snapshot::default();
     let mut turn = 0;
-    let whole = loop {
+    let complete = loop {
         let ahead = &nodes[turn % 2];
-        let Part::Listed { entries, end, next } = ahead.part(1, list.after().map(String::as_str))
+        let Batch::SnapshotPage { entries, end, next } =
+            ahead.batch(1, snapshot.after().map(String::as_str))
         else {
-            panic!("not a list");
+            panic!("not a snapshot");
         };
         turn += 1;
-        if let Some(whole) = list.add(entries, end, next) {
-            break whole;
+        if let Some(complete) = snapshot.add_page(entries, end, next) {
+            break complete;
         }
     };
     assert!(turn > 1);
     let mut node = Mirror::default();
-    node.merge_list(whole);
+    node.merge_snapshot(complete);
     assert_eq!(node.end(Topic::Endpoints), 39_000);
     pull(&mut node, &nodes[1], 39_000);
-    assert_eq!(held(&node), expected(&log, 40_000));
+    assert_eq!(records_of(&node), expected(&log, 40_000));
 }
--- a/crates/gateway/tests/node/mod.rs
+++ b/crates/gateway/tests/node/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a node that opens no sockets.
+//! Settings of a node without sockets, shared by the tests.
 
 use crosslane_platform::settings::Settings;
 
--- a/crates/gateway/tests/pause.rs
+++ b/crates/gateway/tests/pause.rs
@@ -1,11 +1,12 @@
-//! What a node believes after its machine was suspended.
+//! State of a node after its machine was suspended: all of it must count as older by the time of
+//! the suspension.
 
 mod node;
 
 use crosslane_coordination::heartbeat::Interval;
 use crosslane_coordination::usage::Usage;
 use crosslane_gateway::members::{Heartbeat, Scope};
-use crosslane_gateway::mirror::{Ends, Topic};
+use crosslane_gateway::mirror::{Offsets, Topic};
 use crosslane_gateway::node::{Node, lock};
 use crosslane_gateway::pause;
 use crosslane_state::endpoint::Tag;
@@ -14,11 +15,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Length of a suspension, in milliseconds: longer than any word counts among few nodes.
-const SUSPENDED: u64 = 6_000;
+/// Length of a suspension, in milliseconds: longer than a heartbeat is valid among few nodes.
+const SUSPENSION_MS: u64 = 6_000;
 
-/// Longest wait for a condition.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for a condition.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn node() -> Node {
     Node::new(node::settings()).unwrap()
@@ -32,7 +33,7 @@
         steady: true,
         fed: true,
         returned: None,
-        ends: Ends::default(),
+        ends: Offsets::default(),
         usage: vec![(Tag(1), Usage::default())],
         changing: Vec::new(),
         limits: 0,
@@ -41,67 +42,67 @@
 
 struct Case {
     name: &'static str,
-    /// Whether something is believed.
-    holds: fn(&Node) -> bool,
+    /// Whether the state is valid.
+    valid: fn(&Node) -> bool,
 }
 
 #[rstest]
-#[case(Case { name: "the store answers", holds: |it| it.fed() })]
-#[case(Case { name: "lapsed records may come back", holds: |it| it.returned().is_some() })]
-#[case(Case { name: "another node lives", holds: |it| !lock(&it.members).addresses(Scope::Live, it.now()).is_empty() })]
-#[case(Case { name: "another node gives the orders", holds: |it| !lock(&it.members).first(it.now()) })]
-fn what_was_believed_is_as_old_as_it_is(#[case] case: Case) {
+#[case(Case { name: "the store is reachable", valid: |node| node.store_reachable() })]
+#[case(Case { name: "the store recovered", valid: |node| node.store_recovered_ms().is_some() })]
+#[case(Case { name: "another node is live", valid: |node| !lock(&node.members).addresses(Scope::Live, node.now()).is_empty() })]
+#[case(Case { name: "another node is the leader", valid: |node| !lock(&node.members).is_leader(node.now()) })]
+fn state_ages_during_a_suspension(#[case] case: Case) {
     let node = node();
-    // A store that returned at the start of the process did not return.
+    // At time zero, a recovery of the store would count as none.
     node.clock.skip(1_000);
-    node.store_answered(true);
-    lock(&node.members).hear([127, 0, 0, 9].into(), &heartbeat(), node.now());
-    assert!((case.holds)(&node), "{}", case.name);
-    node.clock.skip(SUSPENDED);
-    assert!(!(case.holds)(&node), "{}", case.name);
+    node.record_store_answer(true);
+    lock(&node.members).record_heartbeat([127, 0, 0, 9].into(), &heartbeat(), node.now());
+    assert!((case.valid)(&node), "{}", case.name);
+    node.clock.skip(SUSPENSION_MS);
+    assert!(!(case.valid)(&node), "{}", case.name);
 }
 
 #[rstest]
-fn a_callers_time_is_what_is_left_of_it() {
+fn a_deadline_passes_during_a_suspension() {
     let node = node();
-    let deadline = node.clock.deadline(Duration::from_millis(SUSPENDED + 5_000));
-    node.clock.skip(SUSPENDED);
+    let deadline = node.clock.deadline(Duration::from_millis(SUSPENSION_MS + 5_000));
+    node.clock.skip(SUSPENSION_MS);
     assert!(deadline.left() <= Duration::from_secs(5));
-    node.clock.skip(SUSPENDED);
+    node.clock.skip(SUSPENSION_MS);
     assert!(deadline.left().is_zero());
 }
 
 #[rstest]
-fn a_node_that_woke_serves_once_it_knows_what_changed() {
-    let woken = || {
+fn a_resumed_node_serves_once_it_is_up_to_date() {
+    let resumed_node = || {
         let node = node();
-        node.wake();
+        node.mark_resumed();
         assert!(!node.caught_up());
         node
     };
-    let read = woken();
-    read.store_answered(false);
-    assert!(read.caught_up());
-    let failed = woken();
-    failed.store_failed(Topic::Endpoints);
+    let answered = resumed_node();
+    answered.record_store_answer(false);
+    assert!(answered.caught_up());
+    let failed = resumed_node();
+    failed.record_store_failure(Topic::Endpoints);
     assert!(!failed.caught_up());
-    // Without the store and the others it serves by what it knows.
-    failed.clock.skip(SUSPENDED);
+    // With neither the store nor other nodes, it serves with the state that it has.
+    failed.clock.skip(SUSPENSION_MS);
     assert!(failed.caught_up());
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_suspension_is_noticed_and_a_wait_is_not_one() {
+async fn a_suspension_is_detected_and_a_wait_is_not_one() {
     let node = Arc::new(node());
     tokio::spawn(pause::watch(node.clone()));
     sleep(Duration::from_millis(700)).await;
     assert!(node.caught_up());
-    node.clock.skip(SUSPENDED);
-    let noticed = async {
+    node.clock.skip(SUSPENSION_MS);
+    let detected = async {
         while node.caught_up() {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, noticed).await.expect("the suspension was never noticed");
+    timeout(TIMEOUT, detected).await.expect("the suspension was never detected");
 }
