--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -51,7 +51,7 @@
 
 /// Finds the engines of a service that keep the last part of a request's prompt.
 pub async fn find(node: &Node, service: &str, request: &str, part: &str) -> Keepers {
-    let mut listings = node.lists.0.lock().await;
+    let mut listings = node.prefix_caches.0.lock().await;
     let fresh = listings.get(service).is_some_and(|it| node.now().since(it.at) < LIFE);
     if !fresh {
         let engines = list(node, service).await;
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -177,7 +177,7 @@
     let outcome = answer.map(|answer| engine::ordered(answer.status));
     if matches!(outcome, Ok(Order::Taken)) {
         node.pool().ordered(change.key, change.stage, node.now());
-        node.changed.notify_one();
+        node.heartbeat_due.notify_one();
     }
     match outcome {
         Ok(Order::Fenced) => info!(id, stage, fence, outcome = "fenced"; "{}", event::ORDER),
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -135,7 +135,7 @@
     /// Counts a request with its tokens of KV cache at an endpoint that was chosen for its load.
     pub fn take(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
         node.pool().enter(key, tokens);
-        node.updated.notify_one();
+        node.usage_changed.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
 
@@ -161,7 +161,7 @@
 impl Drop for Seat {
     fn drop(&mut self) {
         self.node.pool().leave(self.key, self.tokens);
-        self.node.updated.notify_one();
+        self.node.usage_changed.notify_one();
     }
 }
 
@@ -206,7 +206,7 @@
         if self.rests
             && let Some(connection) = self.connection.take()
         {
-            self.seat.node.idle.keep(self.endpoint.address, connection);
+            self.seat.node.idle_connections.keep(self.endpoint.address, connection);
         }
     }
 
@@ -304,7 +304,7 @@
         }
         told(call, &endpoint, failure, &parts.status.to_string());
         if failure == Failure::Refused && matches!(purpose, Purpose::Run) {
-            node.idle.keep_after(endpoint.address, connection, body);
+            node.idle_connections.keep_after(endpoint.address, connection, body);
         }
         return Err(failure);
     }
@@ -329,7 +329,7 @@
         Purpose::Decode { source: Some(_), .. } => "decode",
         Purpose::Decode { source: None, .. } => "prefill and decode",
     };
-    let (load, offset) = (seat.load, node.mirror().ends().endpoints);
+    let (load, offset) = (seat.load, node.mirror().offsets().endpoints);
     let left_ms = call.left().as_millis() as u64;
     let prompt = call.ask.part.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
@@ -344,13 +344,13 @@
 ) -> Result<(Connection, Parts, Incoming), Error> {
     let to = endpoint.address;
     while matches!(purpose, Purpose::Run)
-        && let Some(connection) = node.idle.take(to)
+        && let Some(connection) = node.idle_connections.take(to)
     {
         match over(connection, request(call, endpoint, purpose), until).await {
             // It was closed while it rested.
             Err(error) if !error.sent() => continue,
             Err(error) => {
-                node.idle.forget(to);
+                node.idle_connections.forget(to);
                 return Err(error);
             }
             answered => return answered,
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -5,7 +5,7 @@
 
 use crate::event;
 use crate::mirror::Topic;
-use crate::node::{Node, STORE, lock};
+use crate::node::{Node, STORE_SOURCE, lock};
 use crosslane_platform::store::{Client, Error};
 use crosslane_state::time::Millis;
 use log::{info, warn};
@@ -119,7 +119,7 @@
     fn reason(&mut self, node: &Node, topic: Topic) -> Option<Reason> {
         let now = node.now();
         let (announced, known) =
-            (node.peer_offsets.borrow().of(topic), node.mirror().ends().of(topic));
+            (node.peer_offsets.borrow().of(topic), node.mirror().offsets().of(topic));
         let overdue = self.lag.is_overdue(announced, known, now);
         if !self.answered && node.mirror().end(topic) == 0 {
             return Some(Reason::Uninitialised);
@@ -142,8 +142,8 @@
         self.records_dropped = false;
         let first = !std::mem::replace(&mut self.answered, true);
         let empty = page.end == 0;
-        let change = node.mirror().take(topic, page, from);
-        node.apply(change, STORE);
+        let change = node.mirror().merge(topic, page, from);
+        node.apply(change, STORE_SOURCE);
         if first {
             sleep(DISCOVERY_TIME).await;
         } else if empty {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -2,7 +2,7 @@
 
 use crate::event;
 use crate::exchange::Call;
-use crate::node::{Node, Open, Reply};
+use crate::node::{InFlight, Node, Reply};
 use crate::refusal::{COME_BACK, Reason, Refusal};
 use crate::{plain, quarantine, quota, stopping, stream};
 use bytes::Bytes;
@@ -134,7 +134,7 @@
     let Some(mut table) = node.table() else {
         return Err(Refusal::later(Reason::NotReady, COME_BACK));
     };
-    if !node.caught_up() {
+    if !node.is_up_to_date() {
         return Err(Refusal::later(Reason::NotReady, COME_BACK));
     }
     let arrived = story.arrived;
@@ -155,7 +155,7 @@
     let service = share(route, &ask.id);
     stopping::check(node, route, service, deadline.left())?;
     node.count_request(service);
-    story.open = Some(node.begin(service));
+    story.open = Some(node.begin_request(service));
     let mut parts = hyper::http::uri::Parts::default();
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
@@ -218,7 +218,7 @@
     status: StatusCode,
     ending: &'static str,
     /// What it counts for among the requests under way, once its service is known.
-    open: Option<Open>,
+    open: Option<InFlight>,
     /// When the last piece of the answer was passed on.
     piece: Option<Instant>,
     /// Time from the request's arrival to the first piece.
@@ -270,7 +270,7 @@
     fn drop(&mut self) {
         self.node.meter.ending(self.ending);
         if let Some(open) = self.open.take() {
-            self.node.end(open, self.ending == ANSWERED && self.status.is_success());
+            self.node.end_request(open, self.ending == ANSWERED && self.status.is_success());
         }
         let request = self.id.as_deref().unwrap_or_default();
         let status = self.status.as_u16();
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -48,7 +48,7 @@
     let change = node.limits().note(endpoint.tag(), rate, sent, node.now());
     if let Some(change) = change {
         apply(node, endpoint.tag(), change, "answer");
-        node.limited.notify_one();
+        node.limits_changed.notify_one();
     }
 }
 
@@ -70,7 +70,7 @@
     hear(node, &[(endpoint, word)], from);
     let known = node.limits().word(endpoint);
     if let Some(known) = known.filter(|it| *it != word) {
-        peers::post(node, &Message::Limits { words: vec![(endpoint, known)] }, from);
+        peers::try_send(node, &Message::Limits { limits: vec![(endpoint, known)] }, from);
     }
 }
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -36,20 +36,20 @@
     /// Time to its next heartbeats.
     pub interval: Interval,
     /// Whether the sender keeps running: it is not stopping.
-    pub steady: bool,
+    pub active: bool,
     /// Whether the sender read the store successfully a short time ago.
-    pub fed: bool,
+    pub store_reachable: bool,
     /// Time since the store recovered from an outage, in milliseconds, while endpoints may still
     /// rewrite records that expired in it.
-    pub returned: Option<u64>,
+    pub store_recovered_ms: Option<u64>,
     /// Offsets up to which it has the data of the store.
-    pub ends: Offsets,
+    pub offsets: Offsets,
     /// Its usage of endpoints.
     pub usage: Vec<(Tag, Usage)>,
     /// Stage changes that it ordered and that engines have not completed.
-    pub changing: Vec<(Tag, Stage)>,
+    pub stage_changes: Vec<(Tag, Stage)>,
     /// Digest of the endpoints' rate limits that it has received.
-    pub limits: u64,
+    pub limits_digest: u64,
 }
 
 /// Owner of a rate limit.
@@ -106,12 +106,12 @@
     /// Rate limits that endpoints announce, as the sender has them.
     Limits {
         /// Limits by endpoint.
-        words: Vec<(Tag, LimitWord)>,
+        limits: Vec<(Tag, LimitWord)>,
     },
     /// Request for all rate limits that endpoints announce.
     LimitsRequest,
     /// Asks the node that owns a limit to grant a request.
-    Ask {
+    QuotaRequest {
         /// Number of the question, repeated in the answer.
         number: u32,
         /// Owner of the limit.
@@ -122,7 +122,7 @@
         word: Option<LimitWord>,
     },
     /// Answer of the node that owns the limit.
-    Ruled {
+    QuotaReply {
         /// Number of the question, repeated in the answer.
         number: u32,
         /// Owner of the limit.
@@ -131,7 +131,7 @@
         verdict: quota::Verdict,
     },
     /// Returns a grant that was not used.
-    GivenBack {
+    QuotaReturn {
         /// Owner of the limit.
         subject: Subject,
         /// Cost of the request that was not sent.
@@ -173,8 +173,8 @@
     /// Tag in messages between nodes.
     tag: Tag,
     domain: String,
-    steady: bool,
-    fed: bool,
+    active: bool,
+    store_reachable: bool,
     offsets: Offsets,
     last_heartbeat: Option<LastHeartbeat>,
 }
@@ -255,9 +255,9 @@
             vm: heartbeat.vm.clone(),
             tag: Tag::of(&heartbeat.vm),
             domain: heartbeat.domain.clone(),
-            steady: heartbeat.steady,
-            fed: heartbeat.fed,
-            offsets: heartbeat.ends,
+            active: heartbeat.active,
+            store_reachable: heartbeat.store_reachable,
+            offsets: heartbeat.offsets,
             last_heartbeat: Some(last_heartbeat),
         };
         self.members.insert(ip, member);
@@ -335,18 +335,18 @@
     pub fn owners(&self, subject: Tag, now: Millis) -> Vec<IpAddr> {
         let others = self
             .live(now)
-            .filter(|(_, member)| member.steady)
+            .filter(|(_, member)| member.active)
             .map(|(ip, member)| (member.tag, *ip));
         quota::owners(subject, others.chain([(Tag::of(&self.vm), self.own_ip)]))
     }
 
     /// Number of live nodes, and of nodes that may serve callers, both including this one. During
     /// the first window of this node, nodes that were never heard count as serving.
-    pub fn seen(&self, now: Millis) -> (usize, usize) {
+    pub fn live_and_serving(&self, now: Millis) -> (usize, usize) {
         let starting = now < Millis(self.retry_window_ms);
         let serves = |member: &&Member| {
             member.last_heartbeat.map_or(starting, |last| {
-                now < last.expires_at() || (member.steady && now.since(last.at) < PARTITION_MS)
+                now < last.expires_at() || (member.active && now.since(last.at) < PARTITION_MS)
             })
         };
         (1 + self.live(now).count(), 1 + self.members.values().filter(serves).count())
@@ -354,7 +354,8 @@
 
     /// Whether this node is the first by name of those that may give orders to engines.
     pub fn is_leader(&self, now: Millis) -> bool {
-        let mut others = self.live(now).filter(|(_, member)| member.steady && member.fed);
+        let mut others =
+            self.live(now).filter(|(_, member)| member.active && member.store_reachable);
         others.all(|(_, member)| self.vm < member.vm)
     }
 
@@ -367,10 +368,11 @@
     /// readers.
     pub fn is_store_reader(&mut self, now: Millis) -> bool {
         let predecessors = self.live(now).filter(|(_, member)| {
-            member.domain == self.domain && member.steady && member.vm < self.vm
+            member.domain == self.domain && member.active && member.vm < self.vm
+        });
+        let (rank, fed) = predecessors.fold((0, 0), |(rank, fed), (_, member)| {
+            (rank + 1, fed + usize::from(member.store_reachable))
         });
-        let (rank, fed) = predecessors
-            .fold((0, 0), |(rank, fed), (_, member)| (rank + 1, fed + usize::from(member.fed)));
         if rank < READERS_PER_DOMAIN || fed >= READERS_PER_DOMAIN {
             self.readers_missing_since = None;
             return rank < READERS_PER_DOMAIN;
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -250,7 +250,7 @@
 
 impl Mirror {
     /// Offsets up to which this node has the data of the store.
-    pub fn ends(&self) -> Offsets {
+    pub fn offsets(&self) -> Offsets {
         Offsets { configuration: self.configuration.end(), endpoints: self.endpoints.end }
     }
 
@@ -274,7 +274,7 @@
 
     /// Merges records read from the store: those from an offset on, or all if there is none.
     /// Records that have come from another node meanwhile are skipped.
-    pub fn take(&mut self, topic: Topic, page: Page, from: Option<u64>) -> Change {
+    pub fn merge(&mut self, topic: Topic, page: Page, from: Option<u64>) -> Change {
         let mut change = Change::default();
         match (topic, from) {
             (Topic::Operators, _) => change.configuration = self.merge_configurations(page),
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -66,7 +66,7 @@
 const NEWER_CONFIGURATION_WAIT: Duration = Duration::from_millis(350);
 
 /// Log name of the store as the source of a change.
-pub const STORE: &str = "store";
+pub const STORE_SOURCE: &str = "store";
 
 /// State that the tasks of a node share.
 #[derive(Debug)]
@@ -80,25 +80,25 @@
     /// Client for control calls to engines.
     pub control: Control,
     /// Idle connections to plain endpoints.
-    pub idle: Kept,
+    pub idle_connections: Kept,
     /// Other nodes.
     pub members: Mutex<Members>,
     /// Cached prompt prefixes of the engines.
-    pub lists: Lists,
+    pub prefix_caches: Lists,
     /// Wakes the heartbeat sender before its interval is over.
-    pub changed: Notify,
+    pub heartbeat_due: Notify,
     /// Wakes the sender of usage updates to near nodes.
-    pub updated: Notify,
+    pub usage_changed: Notify,
     /// Highest offsets that any other node has announced.
     pub peer_offsets: watch::Sender<Offsets>,
     /// Wakes the announcement of a configuration that was pulled from another node.
     pub configuration_pulled: Notify,
     /// Wakes the broadcast of suspicions about requests that may crash endpoints.
-    pub suspected: Notify,
+    pub suspicions_changed: Notify,
     /// Wakes the broadcast of rate limits that endpoints announce.
-    pub limited: Notify,
+    pub limits_changed: Notify,
     /// Wakes the writer of rulings to the store.
-    pub ruled: Notify,
+    pub rulings_changed: Notify,
     /// Liveness checks of endpoints that broke off an answer.
     pub checks: Checks,
     /// Whether reading the rulings from the store was tried, with or without success.
@@ -146,7 +146,7 @@
 
 /// A request in flight.
 #[derive(Debug)]
-pub struct Open {
+pub struct InFlight {
     service: String,
     mark: Mark,
 }
@@ -163,16 +163,16 @@
             clock: Clock::start(),
             meter: Meter::new()?,
             control: Control::default(),
-            idle: Kept::new(IDLE_TIMEOUT, MAX_IDLE_CONNECTIONS),
-            lists: Lists::default(),
+            idle_connections: Kept::new(IDLE_TIMEOUT, MAX_IDLE_CONNECTIONS),
+            prefix_caches: Lists::default(),
             members: Mutex::new(Members::new(&settings)),
-            changed: Notify::new(),
-            updated: Notify::new(),
+            heartbeat_due: Notify::new(),
+            usage_changed: Notify::new(),
             peer_offsets: watch::Sender::default(),
             configuration_pulled: Notify::new(),
-            suspected: Notify::new(),
-            limited: Notify::new(),
-            ruled: Notify::new(),
+            suspicions_changed: Notify::new(),
+            limits_changed: Notify::new(),
+            rulings_changed: Notify::new(),
             checks: Checks::default(),
             rulings_read_tried: AtomicBool::new(false),
             quota: Desk::new(settings.quota),
@@ -200,20 +200,20 @@
     }
 
     /// Records the start of a request for a service.
-    pub fn begin(&self, service: &str) -> Open {
+    pub fn begin_request(&self, service: &str) -> InFlight {
         let mark = lock(&self.durations).entry(service.to_owned()).or_default().begin(self.now());
-        Open { service: service.to_owned(), mark }
+        InFlight { service: service.to_owned(), mark }
     }
 
     /// Records the end of a request, and whether it was answered completely.
-    pub fn end(&self, request: Open, complete: bool) {
+    pub fn end_request(&self, request: InFlight, complete: bool) {
         if let Some(durations) = lock(&self.durations).get_mut(&request.service) {
             durations.end(request.mark, complete, self.now());
         }
     }
 
     /// Duration of the longest recent requests for a service, if any was answered lately.
-    pub fn longest(&self, service: &str) -> Option<Duration> {
+    pub fn longest_duration(&self, service: &str) -> Option<Duration> {
         let longest = lock(&self.durations).get_mut(service)?.longest(self.now());
         longest.map(Duration::from_millis)
     }
@@ -237,7 +237,7 @@
     /// limited time.
     pub async fn newer_table(&self, before: Arc<Table>) -> Arc<Table> {
         let configuration_applied = self.configuration_applied.notified();
-        if self.behind(Topic::Operators) {
+        if self.is_behind(Topic::Operators) {
             // On timeout, the configuration in force is used.
             let _ = timeout(NEWER_CONFIGURATION_WAIT, configuration_applied).await;
         }
@@ -260,7 +260,7 @@
     }
 
     /// The rate limiter that is responsible for a subject.
-    pub fn desk(&self, subject: Subject) -> &Desk {
+    pub fn limiter(&self, subject: Subject) -> &Desk {
         match subject {
             Subject::Organisation(_) => &self.quota,
             Subject::Endpoint(_) => &self.throttle,
@@ -283,15 +283,15 @@
     }
 
     /// Whether another node has newer data of a topic.
-    pub fn behind(&self, topic: Topic) -> bool {
-        let known = self.mirror().ends();
+    pub fn is_behind(&self, topic: Topic) -> bool {
+        let known = self.mirror().offsets();
         self.peer_offsets.borrow().of(topic) > known.of(topic)
     }
 
     /// Whether this node can serve callers.
     pub fn ready(&self) -> bool {
         let rulings_tried = self.rulings_read_tried.load(Ordering::Relaxed);
-        let has_state = rulings_tried && self.table().is_some() && self.caught_up();
+        let has_state = rulings_tried && self.table().is_some() && self.is_up_to_date();
         self.stopping.borrow().is_none() && has_state && !self.pool().is_empty()
     }
 
@@ -300,7 +300,7 @@
     pub fn mark_resumed(&self) {
         *lock(&self.resumed_at) = Some(self.now());
         *lock(&self.store_read_at) = None;
-        self.changed.notify_one();
+        self.heartbeat_due.notify_one();
     }
 
     /// Records that this node has the newest data of the store or of another node.
@@ -309,15 +309,15 @@
     }
 
     /// Whether this node is up to date since the last suspension, or has waited long enough.
-    pub fn caught_up(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         lock(&self.resumed_at).is_none_or(|at| self.now().since(at) >= RESUME_GRACE_MS)
     }
 
     /// This node's share of the connection cap of an endpoint of a service.
-    pub fn connections(&self, service: &str) -> u32 {
+    pub fn connection_share(&self, service: &str) -> u32 {
         let table = self.table();
         let cap = table.as_ref().and_then(|table| table.services.get(service)?.connections);
-        let (_, nodes) = lock(&self.members).seen(self.now());
+        let (_, nodes) = lock(&self.members).live_and_serving(self.now());
         cap.map_or(u32::MAX, |cap| connections::part(cap, nodes))
     }
 
@@ -327,14 +327,14 @@
     }
 
     /// Takes a retry from the retry budget of a service; false if the budget is used up.
-    pub fn take_repeat(&self, service: &str) -> bool {
+    pub fn take_retry(&self, service: &str) -> bool {
         let members = lock(&self.members).retry_budget_sharers(self.now());
         lock(&self.allowance).take(service, members, self.now())
     }
 
     /// Estimate of the time that a caller spent on earlier attempts, in milliseconds, from the time
     /// that it still has and what other callers of the route have.
-    pub fn spent(&self, route: &str, patience: Duration) -> u64 {
+    pub fn earlier_attempts_ms(&self, route: &str, patience: Duration) -> u64 {
         let patience = patience.as_millis() as u64;
         let mut routes = lock(&self.patience);
         routes.entry(route.to_owned()).or_default().spent(patience, self.now())
@@ -345,7 +345,7 @@
         let now = self.now();
         if !self.store_reachable() {
             // Nodes that would take over reading need not.
-            self.changed.notify_one();
+            self.heartbeat_due.notify_one();
         }
         *lock(&self.store_read_at) = Some(now);
         self.last_store_call_failed.store(false, Ordering::Relaxed);
@@ -358,7 +358,7 @@
     /// Records a failed read of a topic.
     pub fn record_store_failure(&self, topic: Topic) {
         if lock(&self.store_read_at).take().is_some() {
-            self.changed.notify_one();
+            self.heartbeat_due.notify_one();
         }
         self.last_store_call_failed.store(true, Ordering::Relaxed);
         self.meter.store_failed(topic.name());
@@ -409,8 +409,8 @@
         if change.endpoints {
             self.apply_endpoints(source);
         }
-        if change != Change::default() && source == STORE {
-            self.changed.notify_one();
+        if change != Change::default() && source == STORE_SOURCE {
+            self.heartbeat_due.notify_one();
         }
     }
 
@@ -440,7 +440,7 @@
         let mut directory = lock(&self.directory);
         let mirror = self.mirror();
         let errors = directory.update(mirror.endpoints());
-        let end = mirror.ends().endpoints;
+        let end = mirror.offsets().endpoints;
         drop(mirror);
         let endpoints: Vec<Endpoint> = directory.endpoints().cloned().collect();
         for error in errors {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -192,7 +192,7 @@
                 let mut members = lock(&node.members);
                 texts.filter_map(|text| text.parse().ok()).for_each(|ip| members.add(ip));
                 drop(members);
-                node.changed.notify_one();
+                node.heartbeat_due.notify_one();
                 return;
             }
             Err(error) => {
@@ -207,7 +207,7 @@
 /// Builds a heartbeat with the current state.
 fn current_heartbeat(node: &Node) -> Heartbeat {
     let now = node.now();
-    let ends = node.mirror().ends();
+    let ends = node.mirror().offsets();
     let limits = node.limits().digest();
     let (usage, changing) = {
         let pool = node.pool();
@@ -217,13 +217,13 @@
         vm: node.settings.vm.clone(),
         domain: node.settings.domain.clone(),
         interval: lock(&node.members).interval(),
-        steady: node.stopping.borrow().is_none(),
-        fed: node.store_reachable(),
-        returned: node.store_recovered_ms(),
-        ends,
+        active: node.stopping.borrow().is_none(),
+        store_reachable: node.store_reachable(),
+        store_recovered_ms: node.store_recovered_ms(),
+        offsets: ends,
         usage,
-        changing,
-        limits,
+        stage_changes: changing,
+        limits_digest: limits,
     }
 }
 
@@ -244,7 +244,7 @@
         round += 1;
         // A change ends the wait early.
         let interval = Duration::from_millis(lock(&node.members).interval().near);
-        changed = timeout(interval, node.changed.notified()).await.is_ok();
+        changed = timeout(interval, node.heartbeat_due.notified()).await.is_ok();
     }
 }
 
@@ -260,7 +260,7 @@
 /// Sends usage updates to near nodes when requests begin or end at engines.
 async fn send_usage_updates(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        node.updated.notified().await;
+        node.usage_changed.notified().await;
         sleep(UPDATE_GATHER_TIME).await;
         let addresses = lock(&node.members).addresses(Scope::Near, node.now());
         let usage = node.pool().updates(node.now());
@@ -278,7 +278,7 @@
         let near = lock(&node.members).addresses(Scope::Near, node.now());
         let chosen: Vec<_> =
             near.choose_multiple(&mut rand::rng(), ANNOUNCE_FANOUT).copied().collect();
-        let offsets = node.mirror().ends();
+        let offsets = node.mirror().offsets();
         send(&node, &socket, &Message::Offsets { offsets }, &chosen).await;
     }
 }
@@ -288,7 +288,7 @@
 /// suspicion.
 async fn broadcast_suspicions(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        node.suspected.notified().await;
+        node.suspicions_changed.notified().await;
         let suspicions = node.quarantine().words();
         let addresses = lock(&node.members).addresses(Scope::Live, node.now());
         send_suspicions(&node, &socket, suspicions, &addresses).await;
@@ -310,7 +310,7 @@
 /// Broadcasts rate limits that endpoints announced, changed or withdrew.
 async fn broadcast_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        node.limited.notified().await;
+        node.limits_changed.notified().await;
         let changes = node.limits().news();
         let live = lock(&node.members).addresses(Scope::Live, node.now());
         send_limits(&node, &socket, changes.all, &live).await;
@@ -329,7 +329,7 @@
     addresses: &[IpAddr],
 ) {
     for chunk in entries.chunks(DATAGRAM_ENTRIES) {
-        send(node, socket, &Message::Limits { words: chunk.to_vec() }, addresses).await;
+        send(node, socket, &Message::Limits { limits: chunk.to_vec() }, addresses).await;
     }
 }
 
@@ -377,7 +377,7 @@
 
 /// Sends a small message without waiting, or drops it: requests with a deadline wait for its
 /// answer.
-pub fn post(node: &Node, message: &Message, to: IpAddr) {
+pub fn try_send(node: &Node, message: &Message, to: IpAddr) {
     let Some(socket) = node.socket.get() else {
         return;
     };
@@ -406,7 +406,7 @@
         };
         match bincode::deserialize(&buffer[..length]) {
             Ok(Message::Heartbeat(heartbeat)) => {
-                let differs = heartbeat.limits != node.limits().digest();
+                let differs = heartbeat.limits_digest != node.limits().digest();
                 handle_heartbeat(&node, &socket, from.ip(), heartbeat).await;
                 let pause_ms = limits_ask_pause_ms(&node);
                 if differs && is_due(&mut limits_last_asked, pause_ms, node.now()) {
@@ -426,23 +426,23 @@
                     send(&node, &socket, &Message::RulingsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Limits { words }) => limit::hear(&node, &words, from.ip()),
+            Ok(Message::Limits { limits: words }) => limit::hear(&node, &words, from.ip()),
             Ok(Message::LimitsRequest) => {
                 let words = node.limits().words();
                 send_limits(&node, &socket, words, &[from.ip()]).await;
             }
-            Ok(Message::Ask { number, subject, cost, word }) => {
+            Ok(Message::QuotaRequest { number, subject, cost, word }) => {
                 limit::hear_asker(&node, subject, word, from.ip());
                 let answer = quota::answer(&node, number, subject, cost);
-                post(&node, &answer, from.ip());
+                try_send(&node, &answer, from.ip());
             }
-            Ok(Message::Ruled { number, subject, verdict }) => {
-                if let Some((subject, cost)) = node.desk(subject).hear(number, verdict) {
-                    post(&node, &Message::GivenBack { subject, cost }, from.ip());
+            Ok(Message::QuotaReply { number, subject, verdict }) => {
+                if let Some((subject, cost)) = node.limiter(subject).hear(number, verdict) {
+                    try_send(&node, &Message::QuotaReturn { subject, cost }, from.ip());
                 }
             }
-            Ok(Message::GivenBack { subject, cost }) => {
-                node.desk(subject).hear_back(subject, cost);
+            Ok(Message::QuotaReturn { subject, cost }) => {
+                node.limiter(subject).hear_back(subject, cost);
             }
             Ok(Message::RulingsRequest) => {
                 send_rulings(&node, &socket, from.ip()).await;
@@ -472,17 +472,17 @@
 /// Handles a heartbeat; a node that was silent before gets one in return at once.
 async fn handle_heartbeat(node: &Node, socket: &UdpSocket, from: IpAddr, heartbeat: Heartbeat) {
     let receipt = lock(&node.members).record_heartbeat(from, &heartbeat, node.now());
-    if let Some(ago_ms) = heartbeat.returned {
+    if let Some(ago_ms) = heartbeat.store_recovered_ms {
         node.record_peer_recovery(ago_ms);
     }
-    node.record_peer_offsets(heartbeat.ends);
-    if !node.behind(Topic::Operators) && !node.behind(Topic::Endpoints) {
+    node.record_peer_offsets(heartbeat.offsets);
+    if !node.is_behind(Topic::Operators) && !node.is_behind(Topic::Endpoints) {
         node.mark_up_to_date();
     }
     {
         let mut pool = node.pool();
         pool.hear(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.expires_at);
-        pool.hear_changing(&heartbeat.changing, receipt.expires_at);
+        pool.hear_changing(&heartbeat.stage_changes, receipt.expires_at);
     }
     if receipt.newcomer {
         send(node, socket, &Message::Heartbeat(current_heartbeat(node)), &[from]).await;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -118,11 +118,11 @@
     /// The best endpoint that was not tried, with a repeat from the budget if it takes one.
     fn choose(&self, repeats: bool) -> Option<(Key, f64)> {
         let (service, except) = (self.service, self.tried.as_slice());
-        let connections = self.node.connections(service);
+        let connections = self.node.connection_share(service);
         let stage = Stage::Plain;
         let query = Query { service, stage, capacity: 0, connections, room: None, except };
         let place = self.node.pool().choose(query, self.node.now())?;
-        if repeats && !self.node.take_repeat(service) {
+        if repeats && !self.node.take_retry(service) {
             self.node.meter.retried(Retry::DeniedBudget);
             return None;
         }
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -79,7 +79,7 @@
 
 impl<'a> Pull<'a> {
     fn new(node: &'a Node, topic: Topic, from: IpAddr) -> Self {
-        let known = node.mirror().ends().of(topic);
+        let known = node.mirror().offsets().of(topic);
         let told = node.peer_offsets.borrow().of(topic);
         Self { node, topic, from, known, told, began: node.now(), parts: 0, bytes: 0 }
     }
@@ -93,7 +93,7 @@
 
     /// Offset up to which this node has the topic now.
     fn current_offset(&self) -> u64 {
-        self.node.mirror().ends().of(self.topic)
+        self.node.mirror().offsets().of(self.topic)
     }
 
     fn count_part(&mut self, bytes: usize) {
@@ -235,10 +235,10 @@
 async fn wait_until_behind(node: &Node, topic: Topic) {
     let mut announced = node.peer_offsets.subscribe();
     loop {
-        if node.behind(topic) {
+        if node.is_behind(topic) {
             sleep(store_head_start(node, topic)).await;
         }
-        if node.behind(topic) {
+        if node.is_behind(topic) {
             return;
         }
         // Never fails: the node owns the sender.
@@ -248,7 +248,7 @@
 
 /// Time that this node's own read of the store gets.
 fn store_head_start(node: &Node, topic: Topic) -> Duration {
-    let is_empty = node.mirror().ends().of(topic) == 0;
+    let is_empty = node.mirror().offsets().of(topic) == 0;
     match () {
         () if node.last_store_call_failed() => Duration::ZERO,
         () if is_empty => FIRST_STORE_HEAD_START,
@@ -260,7 +260,7 @@
 /// Chooses a random node with newer data, except for one that failed; one of this failure domain if
 /// possible. Random, so that not all nodes ask the same one.
 fn choose_source(node: &Node, topic: Topic, failed: Option<IpAddr>) -> Option<IpAddr> {
-    let known = node.mirror().ends().of(topic);
+    let known = node.mirror().offsets().of(topic);
     let sources = lock(&node.members).sources(node.now(), failed, |ends| ends.of(topic) > known);
     sources.choose(&mut rand::rng()).copied()
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -107,7 +107,7 @@
             let why = if self.well { "it ran well" } else { "its run went on" };
             info!(fingerprint:% = self.request, ran_ms = ran, why; "{}", event::FORGOTTEN);
         }
-        self.node.suspected.notify_one();
+        self.node.suspicions_changed.notify_one();
     }
 }
 
@@ -156,7 +156,7 @@
         }
         quarantine.begin(request, tag, node.now());
     }
-    node.suspected.notify_one();
+    node.suspicions_changed.notify_one();
     let trial = Trial { node: node.clone(), request, began: None, well: false };
     sleep(Duration::from_millis(ANNOUNCED)).await;
     if node.quarantine().gives_way(request, tag, node.now()) {
@@ -241,7 +241,7 @@
     };
     node.meter.strikes.inc();
     info!(request, fingerprint:%, to, strikes; "{}", event::STRUCK);
-    node.suspected.notify_one();
+    node.suspicions_changed.notify_one();
     if strikes >= SHUT_AT {
         let node = node.clone();
         tokio::spawn(async move {
@@ -267,8 +267,8 @@
         warn!(fingerprint:%, verdict:% = Verdict::Lifted, source = "here", why; "{}", event::RULED);
     }
     if !shut.is_empty() || !acquitted.is_empty() {
-        node.ruled.notify_one();
-        node.suspected.notify_one();
+        node.rulings_changed.notify_one();
+        node.suspicions_changed.notify_one();
     }
 }
 
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -153,12 +153,12 @@
         let Some(Taken { subject, cost, source }) = self.taken.filter(|_| unused) else {
             return;
         };
-        let desk = self.node.desk(subject);
+        let desk = self.node.limiter(subject);
         match source {
             Source::Alone => lock(&desk.alone).give_back(subject.tag(), cost),
             Source::Owner(ip) if ip == self.node.settings.ip => desk.hear_back(subject, cost),
             Source::Owner(ip) => {
-                peers::post(&self.node, &Message::GivenBack { subject, cost }, ip);
+                peers::try_send(&self.node, &Message::QuotaReturn { subject, cost }, ip);
             }
         }
     }
@@ -214,7 +214,7 @@
 /// What the owner says, the next one in its place, or this node alone.
 async fn rule(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
     let owners = owners(node, subject);
-    let desk = node.desk(subject);
+    let desk = node.limiter(subject);
     for owner in owners {
         let silence = lock(&desk.silent).get(&owner).copied();
         if silence.is_some_and(|it| it.passed_over(node.now())) {
@@ -234,7 +234,7 @@
             return (verdict, Source::Owner(owner));
         }
     }
-    let (_, known) = lock(&node.members).seen(node.now());
+    let (_, known) = lock(&node.members).live_and_serving(node.now());
     let share = 1.0 / known as f64;
     let ask = in_place(subject, ask);
     (lock(&desk.alone).rule_alone(ask, share, node.now()), Source::Alone)
@@ -243,7 +243,7 @@
 /// Begins to count against a limit that this node owns.
 pub fn begin(node: &Node, subject: Subject) {
     if owns(node, subject) {
-        lock(&node.desk(subject).owned).begin(subject.tag(), node.now());
+        lock(&node.limiter(subject).owned).begin(subject.tag(), node.now());
     }
 }
 
@@ -277,9 +277,9 @@
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
         ask = in_place(subject, ask);
     }
-    let (seen, known) = lock(&node.members).seen(now);
+    let (seen, known) = lock(&node.members).live_and_serving(now);
     let share = seen as f64 / known as f64;
-    let verdict = lock(&node.desk(subject).owned).rule(ask, share, now);
+    let verdict = lock(&node.limiter(subject).owned).rule(ask, share, now);
     match (subject, verdict) {
         (Subject::Endpoint(endpoint), Verdict::Over { wait }) => {
             let wait = lock(&node.queues).join(endpoint, ask.limit.rate, wait, now);
@@ -295,8 +295,8 @@
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().word(endpoint),
     };
-    let (number, answer) = node.desk(subject).ask(subject, cost, node.now());
-    peers::post(node, &Message::Ask { number, subject, cost, word }, owner);
+    let (number, answer) = node.limiter(subject).ask(subject, cost, node.now());
+    peers::try_send(node, &Message::QuotaRequest { number, subject, cost, word }, owner);
     timeout(ANSWER, answer).await.ok()?.ok()
 }
 
@@ -311,7 +311,7 @@
         let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
         own(node, subject, ask)
     });
-    Message::Ruled { number, subject, verdict }
+    Message::QuotaReply { number, subject, verdict }
 }
 
 /// An organisation's limit.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -174,7 +174,7 @@
         let mut seat = Seat::take(&self.run.node, place, self.run.tokens());
         // Before the run is stopped: it must be able to go on there.
         seat.admit(&self.run.call.ask.id).await.ok()?;
-        if !self.run.node.take_repeat(&self.run.service) {
+        if !self.run.node.take_retry(&self.run.service) {
             return None;
         }
         let request = engine::move_run(&source, &self.run.call.ask.id, target.address);
@@ -288,7 +288,7 @@
         if *sent >= route.attempts {
             return Some("cut: no attempt left");
         }
-        if !node.take_repeat(service) {
+        if !node.take_retry(service) {
             node.meter.retried(Retry::DeniedBudget);
             return Some("cut: retry budget spent");
         }
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -123,7 +123,7 @@
             quarantine.tell(request, Word::Ruled(ruling));
             drop(quarantine);
             info!(fingerprint:% = request, verdict:% = ruling.verdict, source = "store"; "{}", event::RULED);
-            node.suspected.notify_one();
+            node.suspicions_changed.notify_one();
         }
     }
 }
@@ -134,7 +134,7 @@
     let mut failures = 0_u32;
     loop {
         // A new ruling is written at once, since all nodes may be killed at the next moment.
-        let _ = timeout(CHECK_INTERVAL, node.ruled.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.rulings_changed.notified()).await;
         let reader = lock(&node.members).is_store_reader(node.now());
         let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED_MS));
         for (request, ruling) in unsaved {
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -93,7 +93,7 @@
     loop {
         sleep(TIDY).await;
         node.control.tidy();
-        node.idle.tidy();
+        node.idle_connections.tidy();
         node.pool().expire(node.now());
         quarantine::tidy(&node);
         node.quota.tidy(node.now());
@@ -113,7 +113,7 @@
 async fn stop(node: &Arc<Node>, connections: &TaskTracker) {
     let began = Instant::now();
     node.stopping.send_replace(Some(node.now()));
-    node.changed.notify_one();
+    node.heartbeat_due.notify_one();
     info!(open = connections.len(), phase = "begin"; "{}", event::STOP);
     sleep(TAKES_STREAMS).await;
     connections.close();
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -52,7 +52,7 @@
         since: Duration::from_millis(node.now().since(at)),
         grace: Duration::from_millis(node.settings.grace),
         left,
-        lasts: node.longest(service).map_or(left, |it| it.min(left)),
+        lasts: node.longest_duration(service).map_or(left, |it| it.min(left)),
         streams: matches!(route.kind, Kind::Stream { .. }),
     };
     if late.taken() { Ok(()) } else { Err(Refusal::later(Reason::Stopping, COME_BACK)) }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -89,7 +89,7 @@
         let caller = Caller {
             target: route.target,
             silence: route.silence(),
-            spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
+            spent: call.ask.patience.map_or(0, |it| node.earlier_attempts_ms(&route.name, it)),
             resumes: call.ask.last_event.is_some(),
         };
         let standing = Standing::from(&caller);
@@ -182,7 +182,7 @@
     /// The prefilling engine with the shortest queue, and its load.
     fn prefiller(&self) -> Option<(Key, f64)> {
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
-        let (capacity, connections) = (PREFILL_BACKLOG, self.node.connections(service));
+        let (capacity, connections) = (PREFILL_BACKLOG, self.node.connection_share(service));
         let query = Query { service, stage, capacity, connections, room: None, except: &[] };
         self.node.pool().choose(query, self.node.now())
     }
@@ -192,7 +192,7 @@
     pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
         let room = Some(Room { tokens: self.tokens(), below });
         let (service, capacity) = (self.service.as_str(), self.engine.capacity);
-        let connections = self.node.connections(service);
+        let connections = self.node.connection_share(service);
         let stage = Stage::Decode;
         let query = Query { service, stage, capacity, connections, room, except };
         self.node.pool().choose(query, self.node.now())
@@ -202,7 +202,7 @@
     /// itself, as the retry budget allows: the engine that failed had an attempt.
     async fn first_prefill(&mut self, keeper: Option<Key>) -> Result<Option<Handle>, Refusal> {
         let read = self.prefill(keeper).await;
-        if read.is_none() && !self.node.take_repeat(&self.service) {
+        if read.is_none() && !self.node.take_retry(&self.service) {
             self.node.meter.retried(Retry::DeniedBudget);
             return Err(come_back(Reason::Refused));
         }
@@ -300,7 +300,7 @@
         if quarantine::refuses(engine.address).await {
             return None;
         }
-        if !self.node.take_repeat(&self.service) {
+        if !self.node.take_retry(&self.service) {
             self.node.meter.retried(Retry::DeniedBudget);
             return None;
         }
@@ -322,7 +322,7 @@
         let mut failure = failure;
         while !failure.barred() && self.sent < self.route.attempts.max(1) {
             let paid = self.sent == 0 || self.spare.is_some();
-            if !paid && !self.node.take_repeat(&self.service) {
+            if !paid && !self.node.take_retry(&self.service) {
                 self.node.meter.retried(Retry::DeniedBudget);
                 break;
             }
@@ -359,7 +359,7 @@
     /// the next engine takes 0.2 s, and its streams pause meanwhile. Nothing where no engine may be asked.
     async fn prefill_again(&self) -> Result<Option<Handle>, Failure> {
         let keeper = self.read_at.filter(|it| self.node.pool().usable(*it));
-        let Some(keeper) = keeper.filter(|_| self.node.take_repeat(&self.service)) else {
+        let Some(keeper) = keeper.filter(|_| self.node.take_retry(&self.service)) else {
             return Ok(None);
         };
         let read = self.prefill(Some(keeper)).await;
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -112,13 +112,13 @@
             vm: self.name.clone(),
             domain: self.domain.clone(),
             interval,
-            steady: true,
-            fed: true,
-            returned: None,
-            ends: Offsets::default(),
+            active: true,
+            store_reachable: true,
+            store_recovered_ms: None,
+            offsets: Offsets::default(),
             usage: self.usage(),
-            changing: Vec::new(),
-            limits: 0,
+            stage_changes: Vec::new(),
+            limits_digest: 0,
         }
     }
 }
@@ -259,13 +259,13 @@
                 vm: name(other),
                 domain: domain(other, case.domains),
                 interval: Interval { near: OUTAGE_MS * 2, far: OUTAGE_MS * 2 },
-                steady: true,
-                fed: false,
-                returned: None,
-                ends: Offsets::default(),
+                active: true,
+                store_reachable: false,
+                store_recovered_ms: None,
+                offsets: Offsets::default(),
                 usage: Vec::new(),
-                changing: Vec::new(),
-                limits: 0,
+                stage_changes: Vec::new(),
+                limits_digest: 0,
             };
             node.record_heartbeat(ip(other), &heartbeat, Millis(0));
         }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -83,13 +83,13 @@
         vm: other.vm.into(),
         domain: other.domain.into(),
         interval: Interval { near: 250, far: 250 },
-        steady: other.active,
-        fed: other.store_reachable,
-        returned: None,
-        ends: Offsets { configuration: other.configuration_end, endpoints: 0 },
+        active: other.active,
+        store_reachable: other.store_reachable,
+        store_recovered_ms: None,
+        offsets: Offsets { configuration: other.configuration_end, endpoints: 0 },
         usage: Vec::new(),
-        changing: Vec::new(),
-        limits: 0,
+        stage_changes: Vec::new(),
+        limits_digest: 0,
     }
 }
 
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -27,7 +27,7 @@
 fn expected(log: &[Record], end: u64) -> Vec<(String, Bytes)> {
     let mut mirror = Mirror::default();
     let records = log[..end as usize].to_vec();
-    mirror.take(Topic::Endpoints, Page { records, end }, Some(0));
+    mirror.merge(Topic::Endpoints, Page { records, end }, Some(0));
     records_of(&mirror)
 }
 
@@ -72,7 +72,7 @@
                 let node = &mut nodes[random.random_range(0..2)];
                 let from = node.end(Topic::Endpoints);
                 let records = log[from as usize..].to_vec();
-                node.take(Topic::Endpoints, Page { records, end: log.len() as u64 }, Some(from));
+                node.merge(Topic::Endpoints, Page { records, end: log.len() as u64 }, Some(from));
             }
             _ => {
                 let (from, to) = (random.random_range(0..4), random.random_range(0..4));
@@ -102,11 +102,11 @@
     let log = numbered(0, [(1, Some(1)), (1, Some(2)), (1, Some(3))]);
     let page = |from: usize, to: usize| Page { records: log[from..to].to_vec(), end: to as u64 };
     let mut ahead = Mirror::default();
-    ahead.take(Topic::Endpoints, page(0, 3), Some(0));
+    ahead.merge(Topic::Endpoints, page(0, 3), Some(0));
     let mut node = Mirror::default();
-    node.take(Topic::Endpoints, page(0, 1), Some(0));
+    node.merge(Topic::Endpoints, page(0, 1), Some(0));
     pull(&mut node, &ahead, 1);
-    let change = node.take(Topic::Endpoints, page(1, 2), Some(1));
+    let change = node.merge(Topic::Endpoints, page(1, 2), Some(1));
     assert!(!change.endpoints);
     assert_eq!(records_of(&node), expected(&log, 3));
 }
@@ -115,8 +115,8 @@
 fn a_delta_with_a_gap_before_it_is_ignored() {
     let mut ahead = Mirror::default();
     let page = |records: Vec<Record>, end| Page { records, end };
-    ahead.take(Topic::Endpoints, page(numbered(9, [(1, Some(1))]), 10), None);
-    ahead.take(Topic::Endpoints, page(numbered(10, [(2, Some(2))]), 11), Some(10));
+    ahead.merge(Topic::Endpoints, page(numbered(9, [(1, Some(1))]), 10), None);
+    ahead.merge(Topic::Endpoints, page(numbered(10, [(2, Some(2))]), 11), Some(10));
     let mut node = Mirror::default();
     // The request names a higher offset than the node has.
     assert!(!pull(&mut node, &ahead, 10).1.endpoints && records_of(&node).is_empty());
@@ -140,10 +140,14 @@
     let records = |from: u64, to: u64| {
         numbered(from, (from..to).map(|number| (number % 5_000, Some(number))))
     };
-    mirror.take(Topic::Endpoints, Page { records: records(0, 10), end: 10 }, None);
-    mirror.take(Topic::Endpoints, Page { records: records(10, case.end), end: case.end }, Some(10));
+    mirror.merge(Topic::Endpoints, Page { records: records(0, 10), end: 10 }, None);
+    mirror.merge(
+        Topic::Endpoints,
+        Page { records: records(10, case.end), end: case.end },
+        Some(10),
+    );
     let mut node = Mirror::default();
-    node.take(Topic::Endpoints, Page { records: records(0, case.from), end: case.from }, Some(0));
+    node.merge(Topic::Endpoints, Page { records: records(0, case.from), end: case.from }, Some(0));
     let (mut sent, mut batches, mut full) = (0, 0, false);
     while node.end(Topic::Endpoints) < case.end {
         let from = node.end(Topic::Endpoints);
@@ -167,7 +171,7 @@
     let mut ahead = Mirror::default();
     let records = numbered(0, (0..8_000).map(|number| (number, Some(number))));
     let from = (!as_snapshot).then_some(0);
-    ahead.take(Topic::Endpoints, Page { records, end: 8_000 }, from);
+    ahead.merge(Topic::Endpoints, Page { records, end: 8_000 }, from);
     let mut after = None;
     let mut from = 0;
     for _ in 0..8_000 {
@@ -195,14 +199,14 @@
 fn publish(mirror: &mut Mirror, offset: u64, text: Bytes) {
     let key = CONFIGURATION.into();
     let record = Record { offset, key, value: Some(text) };
-    mirror.take(Topic::Operators, Page { records: vec![record], end: offset + 1 }, Some(offset));
+    mirror.merge(Topic::Operators, Page { records: vec![record], end: offset + 1 }, Some(offset));
 }
 
 /// Pulls the configuration until the other node has nothing newer; returns the number of bytes
 /// received.
 fn catch_up(node: &mut Mirror, ahead: &mut Mirror, download: &mut Download) -> usize {
     let mut bytes = 0;
-    while let Some(chunk) = ahead.chunk(download.request(node.ends().configuration)).unwrap() {
+    while let Some(chunk) = ahead.chunk(download.request(node.offsets().configuration)).unwrap() {
         bytes += chunk.len();
         if let Some(patch) = download.add_chunk(chunk) {
             node.apply_patch(patch).unwrap();
@@ -241,7 +245,7 @@
     }
     let sent = catch_up(&mut node, &mut ahead, &mut Download::default());
     assert_eq!(node.configuration(), ahead.configuration(), "{}", case.name);
-    assert_eq!(node.ends(), ahead.ends(), "{}", case.name);
+    assert_eq!(node.offsets(), ahead.offsets(), "{}", case.name);
     assert!(sent <= case.bytes, "{}: {sent} bytes", case.name);
 }
 
@@ -253,7 +257,7 @@
     let mut node = Mirror::default();
     let mut download = Download::default();
     for offset in 1..30 {
-        let request = download.request(node.ends().configuration);
+        let request = download.request(node.offsets().configuration);
         if let Some(chunk) = ahead.chunk(request).unwrap()
             && let Some(patch) = download.add_chunk(chunk)
         {
@@ -261,7 +265,7 @@
         }
         publish(&mut ahead, offset, text(offset, 8_000));
     }
-    assert!(node.ends().configuration > 20, "{:?}", node.ends());
+    assert!(node.offsets().configuration > 20, "{:?}", node.offsets());
 }
 
 #[rstest]
@@ -310,7 +314,7 @@
     publish(&mut node, 0, text(0, 100));
     catch_up(&mut node, &mut ahead, &mut Download::default());
     let record = Record { offset: 0, key: CONFIGURATION.into(), value: Some(text(0, 100)) };
-    let change = node.take(Topic::Operators, Page { records: vec![record], end: 1 }, None);
+    let change = node.merge(Topic::Operators, Page { records: vec![record], end: 1 }, None);
     assert!(!change.configuration);
     assert_eq!(node.configuration(), ahead.configuration());
 }
@@ -323,7 +327,7 @@
     let read = |end: u64| {
         let mut node = Mirror::default();
         let records = log[..end as usize].to_vec();
-        node.take(Topic::Endpoints, Page { records, end }, Some(0));
+        node.merge(Topic::Endpoints, Page { records, end }, Some(0));
         node
     };
     let nodes = [39_000, 40_000].map(read);
--- a/crates/gateway/tests/pause.rs
+++ b/crates/gateway/tests/pause.rs
@@ -30,13 +30,13 @@
         vm: "n1".into(),
         domain: node::DOMAIN.into(),
         interval: Interval::among(1),
-        steady: true,
-        fed: true,
-        returned: None,
-        ends: Offsets::default(),
+        active: true,
+        store_reachable: true,
+        store_recovered_ms: None,
+        offsets: Offsets::default(),
         usage: vec![(Tag(1), Usage::default())],
-        changing: Vec::new(),
-        limits: 0,
+        stage_changes: Vec::new(),
+        limits_digest: 0,
     }
 }
 
@@ -77,18 +77,18 @@
     let resumed_node = || {
         let node = node();
         node.mark_resumed();
-        assert!(!node.caught_up());
+        assert!(!node.is_up_to_date());
         node
     };
     let answered = resumed_node();
     answered.record_store_answer(false);
-    assert!(answered.caught_up());
+    assert!(answered.is_up_to_date());
     let failed = resumed_node();
     failed.record_store_failure(Topic::Endpoints);
-    assert!(!failed.caught_up());
+    assert!(!failed.is_up_to_date());
     // With neither the store nor other nodes, it serves with the state that it has.
     failed.clock.skip(SUSPENSION_MS);
-    assert!(failed.caught_up());
+    assert!(failed.is_up_to_date());
 }
 
 #[rstest]
@@ -97,10 +97,10 @@
     let node = Arc::new(node());
     tokio::spawn(pause::watch(node.clone()));
     sleep(Duration::from_millis(700)).await;
-    assert!(node.caught_up());
+    assert!(node.is_up_to_date());
     node.clock.skip(SUSPENSION_MS);
     let detected = async {
-        while node.caught_up() {
+        while node.is_up_to_date() {
             sleep(Duration::from_millis(10)).await;
         }
     };
