--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -121,7 +121,7 @@
         let (announced, known) =
             (node.peer_offsets.borrow().of(topic), node.mirror().offsets().of(topic));
         let overdue = self.lag.is_overdue(announced, known, now);
-        if !self.answered && node.mirror().end(topic) == 0 {
+        if !self.answered && node.mirror().read_offset(topic) == 0 {
             return Some(Reason::Uninitialised);
         }
         if lock(&node.members).is_store_reader(now) {
@@ -132,7 +132,7 @@
 
     /// Reads once: everything at first, then new records.
     async fn step(&mut self, node: &Node, client: &mut Client, topic: Topic) -> Result<(), Error> {
-        let known = node.mirror().end(topic);
+        let known = node.mirror().read_offset(topic);
         let from = (known > 0 && !self.records_dropped).then_some(known);
         let page = match from {
             None => client.newest(topic.name()).await?,
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -255,7 +255,7 @@
     }
 
     /// Offset from which the next read of a topic starts.
-    pub fn end(&self, topic: Topic) -> u64 {
+    pub fn read_offset(&self, topic: Topic) -> u64 {
         match topic {
             Topic::Operators => self.operators_end.max(self.configuration.end()),
             Topic::Endpoints => self.endpoints.end,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -5,11 +5,11 @@
 //! too.
 
 use crate::event;
-use crate::events::Events;
 use crate::exchange::{self, Answer, Seat};
 use crate::meter::{Meter, Retry};
 use crate::node::Reply;
 use crate::quarantine;
+use crate::sse::Splitter;
 use crate::stream::{Run, Spare};
 use bytes::{Bytes, BytesMut};
 use crosslane_coordination::admission::FULL;
@@ -43,7 +43,7 @@
 pub struct Relay {
     run: Run,
     answer: Option<Answer>,
-    events: Events,
+    events: Splitter,
     /// When the run is to be moved away from an engine that leaves.
     move_at: Option<Instant>,
     /// Moves that may still be tried.
@@ -66,7 +66,7 @@
 impl Relay {
     /// Passes an engine's answer to a run on.
     pub fn new(run: Run, answer: Answer) -> Self {
-        let events = Events::default();
+        let events = Splitter::default();
         Self { run, answer: Some(answer), events, move_at: None, moves: MOVES, broken: None }
     }
 
@@ -147,7 +147,9 @@
             Ok(Err(_)) => Piece::Broken("time ran out"),
             Ok(Ok(Some(Ok(frame)))) => Piece::Data(frame.into_data().unwrap_or_default()),
             Ok(Ok(Some(Err(_)))) => Piece::Broken("engine broke off"),
-            Ok(Ok(None)) if self.events.partial() => Piece::Broken("engine ended within an event"),
+            Ok(Ok(None)) if self.events.has_partial() => {
+                Piece::Broken("engine ended within an event")
+            }
             Ok(Ok(None)) => Piece::End,
         }
     }
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -3,7 +3,7 @@
 use crate::mirror::Topic;
 use crate::node::Node;
 use crate::stopping::TAKES_STREAMS;
-use crate::{duty, event, follower, front, limit, pause, peers, quarantine, rulings};
+use crate::{event, follower, front, limit, orders, peers, quarantine, rulings, suspension};
 use crosslane_platform::settings::Settings;
 use derive_more::{Display, Error, From};
 use log::{info, warn};
@@ -75,10 +75,10 @@
     tokio::spawn(front::run(node.clone(), callers, connections.clone()));
     tokio::spawn(front::status(node.clone(), ready, METRICS_PATH));
     tokio::spawn(front::status(node.clone(), metrics, METRICS_PATH));
-    tokio::spawn(duty::run(node.clone()));
+    tokio::spawn(orders::run(node.clone()));
     tokio::spawn(rulings::follow(node.clone()));
     tokio::spawn(rulings::save(node.clone()));
-    tokio::spawn(pause::watch(node.clone()));
+    tokio::spawn(suspension::watch(node.clone()));
     tokio::spawn(tidy(node.clone()));
     let node = node.clone();
     tokio::spawn(async move {
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/sse.rs
@@ -10,12 +10,12 @@
 
 /// Buffer for the bytes of a stream that are not forwarded yet.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct Splitter {
     pending: BytesMut,
     last_id: Option<u64>,
 }
 
-impl Events {
+impl Splitter {
     /// Adds bytes and takes all complete events.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
@@ -31,7 +31,7 @@
     }
 
     /// Whether an incomplete event is left.
-    pub fn partial(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,6 +1,6 @@
 //! Complete events are forwarded, and the id of the last one is known.
 
-use crosslane_gateway::events::Events;
+use crosslane_gateway::sse::Splitter;
 use rstest::rstest;
 
 struct Case {
@@ -19,9 +19,14 @@
 #[case(Case { name: "two events", pieces: &[b"id:1\n\nid:2\n\n"], forwarded: b"id:1\n\nid:2\n\n", last_id: Some(2), partial: false })]
 #[case(Case { name: "no id", pieces: &[b"data: a\n\n"], forwarded: b"data: a\n\n", last_id: None, partial: false })]
 fn complete_events_are_forwarded(#[case] case: Case) {
-    let mut events = Events::default();
+    let mut events = Splitter::default();
     let complete: Vec<u8> =
         case.pieces.iter().filter_map(|piece| events.push(piece)).flatten().collect();
     assert_eq!(complete, case.forwarded, "{}", case.name);
-    assert_eq!((events.last_id(), events.partial()), (case.last_id, case.partial), "{}", case.name);
+    assert_eq!(
+        (events.last_id(), events.has_partial()),
+        (case.last_id, case.partial),
+        "{}",
+        case.name
+    );
 }
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -70,13 +70,13 @@
             }
             1 => {
                 let node = &mut nodes[random.random_range(0..2)];
-                let from = node.end(Topic::Endpoints);
+                let from = node.read_offset(Topic::Endpoints);
                 let records = log[from as usize..].to_vec();
                 node.merge(Topic::Endpoints, Page { records, end: log.len() as u64 }, Some(from));
             }
             _ => {
                 let (from, to) = (random.random_range(0..4), random.random_range(0..4));
-                let before = nodes[to].end(Topic::Endpoints);
+                let before = nodes[to].read_offset(Topic::Endpoints);
                 if from == to {
                     // A node that pulls what it already has changes nothing.
                     let Batch::Delta { entries, end } = nodes[to].batch(before, None) else {
@@ -88,11 +88,11 @@
                     pull(&mut node, &nodes[from], before);
                     nodes[to] = node;
                 }
-                assert!(nodes[to].end(Topic::Endpoints) >= before);
+                assert!(nodes[to].read_offset(Topic::Endpoints) >= before);
             }
         }
         for node in &nodes {
-            assert_eq!(records_of(node), expected(&log, node.end(Topic::Endpoints)));
+            assert_eq!(records_of(node), expected(&log, node.read_offset(Topic::Endpoints)));
         }
     }
 }
@@ -149,8 +149,8 @@
     let mut node = Mirror::default();
     node.merge(Topic::Endpoints, Page { records: records(0, case.from), end: case.from }, Some(0));
     let (mut sent, mut batches, mut full) = (0, 0, false);
-    while node.end(Topic::Endpoints) < case.end {
-        let from = node.end(Topic::Endpoints);
+    while node.read_offset(Topic::Endpoints) < case.end {
+        let from = node.read_offset(Topic::Endpoints);
         full |= matches!(mirror.batch(from, None), Batch::SnapshotPage { .. });
         let (received, change) = pull(&mut node, &mirror, from);
         sent += received;
@@ -348,7 +348,7 @@
     assert!(turn > 1);
     let mut node = Mirror::default();
     node.merge_snapshot(complete);
-    assert_eq!(node.end(Topic::Endpoints), 39_000);
+    assert_eq!(node.read_offset(Topic::Endpoints), 39_000);
     pull(&mut node, &nodes[1], 39_000);
     assert_eq!(records_of(&node), expected(&log, 40_000));
 }
--- a/crates/gateway/tests/pause.rs
+++ b/crates/gateway/tests/pause.rs
@@ -8,7 +8,7 @@
 use crosslane_gateway::members::{Heartbeat, Scope};
 use crosslane_gateway::mirror::{Offsets, Topic};
 use crosslane_gateway::node::{Node, lock};
-use crosslane_gateway::pause;
+use crosslane_gateway::suspension;
 use crosslane_state::endpoint::Tag;
 use rstest::rstest;
 use std::sync::Arc;
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn a_suspension_is_detected_and_a_wait_is_not_one() {
     let node = Arc::new(node());
-    tokio::spawn(pause::watch(node.clone()));
+    tokio::spawn(suspension::watch(node.clone()));
     sleep(Duration::from_millis(700)).await;
     assert!(node.is_up_to_date());
     node.clock.skip(SUSPENSION_MS);
