--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -41,7 +41,7 @@
     pub store_reachable: bool,
     /// Time since the store recovered from an outage, in milliseconds, while endpoints may still
     /// rewrite records that expired in it.
-    pub store_recovered_ms: Option<u64>,
+    pub store_recovered_ago_ms: Option<u64>,
     /// Offsets up to which it has the data of the store.
     pub offsets: Offsets,
     /// Its usage of endpoints.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -366,7 +366,7 @@
 
     /// Time since the store recovered, in milliseconds, while endpoints may still rewrite expired
     /// records.
-    pub fn store_recovered_ms(&self) -> Option<u64> {
+    pub fn store_recovered_ago_ms(&self) -> Option<u64> {
         let recovered_at = *lock(&self.store_recovered_at);
         let ago_ms = self.now().since(recovered_at);
         (recovered_at > Millis::default() && ago_ms < EXPIRY_GRACE_MS).then_some(ago_ms)
@@ -448,7 +448,7 @@
             warn!(why:% = error; "{}", event::SKIPPED);
         }
         let now = self.now();
-        let recovering = self.store_recovered_ms().is_some();
+        let recovering = self.store_recovered_ago_ms().is_some();
         let mut pool = self.pool();
         let draining = endpoints.iter().filter(|endpoint| endpoint.draining).count();
         let missing = pool.len().saturating_sub(endpoints.len());
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -219,7 +219,7 @@
         interval: lock(&node.members).interval(),
         active: node.stopping.borrow().is_none(),
         store_reachable: node.store_reachable(),
-        store_recovered_ms: node.store_recovered_ms(),
+        store_recovered_ago_ms: node.store_recovered_ago_ms(),
         offsets: ends,
         usage,
         stage_changes: changing,
@@ -472,7 +472,7 @@
 /// Handles a heartbeat; a node that was silent before gets one in return at once.
 async fn handle_heartbeat(node: &Node, socket: &UdpSocket, from: IpAddr, heartbeat: Heartbeat) {
     let receipt = lock(&node.members).record_heartbeat(from, &heartbeat, node.now());
-    if let Some(ago_ms) = heartbeat.store_recovered_ms {
+    if let Some(ago_ms) = heartbeat.store_recovered_ago_ms {
         node.record_peer_recovery(ago_ms);
     }
     node.record_peer_offsets(heartbeat.offsets);
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -85,7 +85,7 @@
         interval: Interval { near: 250, far: 250 },
         active: other.active,
         store_reachable: other.store_reachable,
-        store_recovered_ms: None,
+        store_recovered_ago_ms: None,
         offsets: Offsets { configuration: other.configuration_end, endpoints: 0 },
         usage: Vec::new(),
         stage_changes: Vec::new(),
--- a/crates/gateway/tests/pause.rs
+++ b/crates/gateway/tests/pause.rs
@@ -32,7 +32,7 @@
         interval: Interval::among(1),
         active: true,
         store_reachable: true,
-        store_recovered_ms: None,
+        store_recovered_ago_ms: None,
         offsets: Offsets::default(),
         usage: vec![(Tag(1), Usage::default())],
         stage_changes: Vec::new(),
@@ -48,7 +48,7 @@
 
 #[rstest]
 #[case(Case { name: "the store is reachable", valid: |node| node.store_reachable() })]
-#[case(Case { name: "the store recovered", valid: |node| node.store_recovered_ms().is_some() })]
+#[case(Case { name: "the store recovered", valid: |node| node.store_recovered_ago_ms().is_some() })]
 #[case(Case { name: "another node is live", valid: |node| !lock(&node.members).addresses(Scope::Live, node.now()).is_empty() })]
 #[case(Case { name: "another node is the leader", valid: |node| !lock(&node.members).is_leader(node.now()) })]
 fn state_ages_during_a_suspension(#[case] case: Case) {
