--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -26,7 +26,7 @@
 const OVERDUE_MS: u64 = 1_000;
 
 /// Pause after the first read, in which heartbeats arrive, so that only the readers continue.
-/// Changes in it come from other nodes, or with the next read.
+/// Changes during the pause come from other nodes, or with the next read.
 const DISCOVERY_TIME: Duration = Duration::from_millis(600);
 
 /// Pause after a read that returned records of endpoints: there are some hundred changes while a
--- a/crates/gateway/src/history.rs
+++ b/crates/gateway/src/history.rs
@@ -17,10 +17,12 @@
 /// Patches kept for nodes that are behind: those of a minute at 53,000 changes a day.
 const MAX_PATCHES: usize = 40;
 
-/// Maximum size of all kept patches, in bytes: small compared to the 88 MB of the smallest VMs.
+/// Maximum size of all kept patches, in bytes: small compared to the 88 MB of memory of the
+/// smallest VMs.
 const MAX_PATCHES_BYTES: usize = 1 << 20;
 
-/// Size of the longest chunk, in bytes: it blocks a 10 Mbit/s link for 26 ms.
+/// Maximum size of a chunk, in bytes: it occupies a 10 Mbit/s link for 26 ms, and other data waits
+/// no longer than that.
 pub const CHUNK_BYTES: usize = 32_768;
 
 /// Versions between which a patch leads. Base 0 stands for the empty text, so that the patch holds
@@ -180,8 +182,8 @@
             let later = self.patches.iter().filter(|patch| patch.span.base >= full.span.target);
             later.map(|patch| patch.data.len()).sum::<usize>()
         };
-        // A full version that is smaller than the patches after it, or that they no longer
-        // continue, is created again when it is needed.
+        // A full version is dropped, and created again when needed, if the patches after it are
+        // larger than it is, or no longer lead on from it.
         self.full
             .take_if(|full| full.span.target < first_base || bytes_after(full) > full.data.len());
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -103,9 +103,9 @@
     pub checks: Checks,
     /// Whether reading the rulings from the store was tried, with or without success.
     pub rulings_read_tried: AtomicBool,
-    /// Rate limits of organisations.
+    /// Limiter for the rate limits of organisations.
     pub quota: Desk,
-    /// Rate limits of endpoints, as a node grants them.
+    /// Limiter for the rate limits of endpoints.
     pub throttle: Desk,
     /// UDP socket for messages between nodes, once it is bound.
     pub socket: OnceLock<Arc<UdpSocket>>,
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Duration of the longest recent requests for a service, if any was answered lately.
+    /// Longest duration of recent requests for a service, if any was answered lately.
     pub fn longest_duration(&self, service: &str) -> Option<Duration> {
         let longest = lock(&self.durations).get_mut(service)?.longest(self.now());
         longest.map(Duration::from_millis)
@@ -295,8 +295,8 @@
         self.stopping.borrow().is_none() && has_state && !self.pool().is_empty()
     }
 
-    /// Records that the machine was suspended: all state is older by that time, and the other nodes
-    /// took this node for dead.
+    /// Records that the machine resumed from a suspension. All state is older by its length, and
+    /// the other nodes took this node for dead.
     pub fn mark_resumed(&self) {
         *lock(&self.resumed_at) = Some(self.now());
         *lock(&self.store_read_at) = None;
@@ -344,7 +344,7 @@
     pub fn record_store_answer(&self, recovered: bool) {
         let now = self.now();
         if !self.store_reachable() {
-            // Nodes that would take over reading need not.
+            // Other nodes need not take over as readers.
             self.heartbeat_due.notify_one();
         }
         *lock(&self.store_read_at) = Some(now);
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -33,7 +33,7 @@
 /// Plans by service.
 type Plans = HashMap<String, Plan>;
 
-/// Gives orders while this node is responsible for them, forever.
+/// Gives orders while this node is the leader, forever.
 pub async fn run(node: Arc<Node>) {
     sleep(DISCOVERY_TIME).await;
     let mut client = Client::new(node.settings.store);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -41,7 +41,7 @@
 /// Topic of the store in which nodes register their addresses.
 const ADDRESS_TOPIC: &str = "keyed.nodes";
 
-/// Every n-th heartbeat goes to silent nodes too.
+/// Number of heartbeats of which one goes to silent nodes too.
 const SILENT_EVERY_ROUNDS: u64 = 8;
 
 /// Pause before the next attempt to register, since rejected calls have a price too. It doubles
@@ -60,8 +60,8 @@
 /// have it multiplies with each round, while each needs link capacity for a few transfers only.
 const ANNOUNCE_FANOUT: usize = 8;
 
-/// Pause after a broadcast of limits. Changes in it go into one message, also if an endpoint
-/// announces another limit in each answer.
+/// Pause after a broadcast of limits. Changes during the pause go into one message, even if an
+/// endpoint announces another limit in each answer.
 const LIMITS_PAUSE: Duration = Duration::from_millis(20);
 
 /// Entries in a datagram: some 100 bytes each.
@@ -207,9 +207,9 @@
 /// Builds a heartbeat with the current state.
 fn current_heartbeat(node: &Node) -> Heartbeat {
     let now = node.now();
-    let ends = node.mirror().offsets();
-    let limits = node.limits().digest();
-    let (usage, changing) = {
+    let offsets = node.mirror().offsets();
+    let limits_digest = node.limits().digest();
+    let (usage, stage_changes) = {
         let pool = node.pool();
         (pool.usage(now), pool.changing(now))
     };
@@ -220,10 +220,10 @@
         active: node.stopping.borrow().is_none(),
         store_reachable: node.store_reachable(),
         store_recovered_ago_ms: node.store_recovered_ago_ms(),
-        offsets: ends,
+        offsets,
         usage,
-        stage_changes: changing,
-        limits_digest: limits,
+        stage_changes,
+        limits_digest,
     }
 }
 
@@ -375,8 +375,7 @@
     }
 }
 
-/// Sends a small message without waiting, or drops it: requests with a deadline wait for its
-/// answer.
+/// Sends a small message without waiting, or drops it, since a request is waiting for the answer.
 pub fn try_send(node: &Node, message: &Message, to: IpAddr) {
     let Some(socket) = node.socket.get() else {
         return;
@@ -426,10 +425,10 @@
                     send(&node, &socket, &Message::RulingsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Limits { limits: words }) => limit::hear(&node, &words, from.ip()),
+            Ok(Message::Limits { limits }) => limit::hear(&node, &limits, from.ip()),
             Ok(Message::LimitsRequest) => {
-                let words = node.limits().words();
-                send_limits(&node, &socket, words, &[from.ip()]).await;
+                let limits = node.limits().words();
+                send_limits(&node, &socket, limits, &[from.ip()]).await;
             }
             Ok(Message::QuotaRequest { number, subject, cost, word }) => {
                 limit::hear_asker(&node, subject, word, from.ip());
@@ -469,7 +468,7 @@
     due
 }
 
-/// Handles a heartbeat; a node that was silent before gets one in return at once.
+/// Handles a heartbeat; a near node that was silent before gets one in return at once.
 async fn handle_heartbeat(node: &Node, socket: &UdpSocket, from: IpAddr, heartbeat: Heartbeat) {
     let receipt = lock(&node.members).record_heartbeat(from, &heartbeat, node.now());
     if let Some(ago_ms) = heartbeat.store_recovered_ago_ms {
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -26,7 +26,7 @@
 use tarpc::{client, context};
 use tokio::time::{sleep, timeout};
 
-/// Time that this node's own read of the store gets before newer data is pulled from another node.
+/// Delay of a pull, in which this node's own read of the store may return the data first.
 const STORE_HEAD_START: Duration = Duration::from_millis(120);
 
 /// Timeout for connecting, and for each answer: 27 times the time of a chunk on a 10 Mbit/s link,
@@ -71,7 +71,7 @@
     /// Offset up to which this node had the topic before.
     known: u64,
     /// Highest offset of the topic that any node has announced.
-    told: u64,
+    announced: u64,
     began: Millis,
     parts: usize,
     bytes: usize,
@@ -80,8 +80,8 @@
 impl<'a> Pull<'a> {
     fn new(node: &'a Node, topic: Topic, from: IpAddr) -> Self {
         let known = node.mirror().offsets().of(topic);
-        let told = node.peer_offsets.borrow().of(topic);
-        Self { node, topic, from, known, told, began: node.now(), parts: 0, bytes: 0 }
+        let announced = node.peer_offsets.borrow().of(topic);
+        Self { node, topic, from, known, announced, began: node.now(), parts: 0, bytes: 0 }
     }
 
     async fn connect(&self) -> io::Result<PeerClient> {
@@ -107,7 +107,7 @@
         let took_ms = self.node.now().since(self.began);
         Meter::time(&self.node.meter.pull, Duration::from_millis(took_ms));
         let now = self.current_offset();
-        let Self { node, topic, from, known, told, parts: pieces, bytes, .. } = self;
+        let Self { node, topic, from, known, announced: told, parts: pieces, bytes, .. } = self;
         let topic = topic.name();
         match &result {
             Ok(outcome) => {
@@ -136,7 +136,7 @@
         let peer = self.connect().await?;
         loop {
             let known = self.current_offset();
-            if known >= self.told {
+            if known >= self.announced {
                 *snapshot = Snapshot::default();
                 return Ok(Outcome::Complete);
             }
@@ -167,7 +167,7 @@
         let peer = self.connect().await?;
         loop {
             let held = self.current_offset();
-            if held >= self.told {
+            if held >= self.announced {
                 return Ok(Outcome::Complete);
             }
             let call = peer.configuration(context::current(), download.request(held));
@@ -230,8 +230,8 @@
     }
 }
 
-/// Waits until another node announces newer data that the store has not returned in the time it
-/// gets.
+/// Waits until another node announces newer data, and this node's own read of the store has not
+/// returned it during the delay.
 async fn wait_until_behind(node: &Node, topic: Topic) {
     let mut announced = node.peer_offsets.subscribe();
     loop {
@@ -246,7 +246,7 @@
     }
 }
 
-/// Time that this node's own read of the store gets.
+/// Delay of a pull in favour of this node's own read of the store.
 fn store_head_start(node: &Node, topic: Topic) -> Duration {
     let is_empty = node.mirror().offsets().of(topic) == 0;
     match () {
@@ -261,7 +261,8 @@
 /// possible. Random, so that not all nodes ask the same one.
 fn choose_source(node: &Node, topic: Topic, failed: Option<IpAddr>) -> Option<IpAddr> {
     let known = node.mirror().offsets().of(topic);
-    let sources = lock(&node.members).sources(node.now(), failed, |ends| ends.of(topic) > known);
+    let sources =
+        lock(&node.members).sources(node.now(), failed, |offsets| offsets.of(topic) > known);
     sources.choose(&mut rand::rng()).copied()
 }
 
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -70,7 +70,7 @@
     reads: true,
     leader: true,
 })]
-fn reader_and_leader_roles(#[case] case: Case) {
+fn roles(#[case] case: Case) {
     let mut members = Members::new(&settings());
     record_heartbeats(&mut members, case.others);
     let now = Millis(10_100);
@@ -179,11 +179,11 @@
     let mut members = Members::new(&settings());
     record_heartbeats(&mut members, case.others);
     if case.announced {
-        let ends = Offsets { configuration: 5, endpoints: 0 };
-        members.record_offsets(IpAddr::from([127, 0, 0, 2]), ends);
+        let offsets = Offsets { configuration: 5, endpoints: 0 };
+        members.record_offsets(IpAddr::from([127, 0, 0, 2]), offsets);
     }
     let failed = case.failed.map(|last| IpAddr::from([127, 0, 0, last]));
-    let mut sources = members.sources(Millis(10_100), failed, |ends| ends.configuration >= 5);
+    let mut sources = members.sources(Millis(10_100), failed, |offsets| offsets.configuration >= 5);
     sources.sort();
     let expected: Vec<IpAddr> =
         case.sources.iter().map(|last| IpAddr::from([127, 0, 0, *last])).collect();
