--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -51,7 +51,7 @@
 
 /// Finds the engines of a service that cache the last part of a request's prompt.
 pub async fn lookup(node: &Node, service: &str, request: &str, part: &str) -> Hits {
-    let mut listings = node.lists.0.lock().await;
+    let mut listings = node.prefix_caches.0.lock().await;
     let fresh = listings
         .get(service)
         .is_some_and(|listing| node.now().since(listing.listed_at) < LIST_TTL_MS);
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -136,7 +136,7 @@
     /// Counts a request, with its KV cache tokens, at the chosen endpoint.
     pub fn acquire(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
         node.pool().enter(key, tokens);
-        node.updated.notify_one();
+        node.usage_changed.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
 
@@ -162,7 +162,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.node.pool().leave(self.key, self.tokens);
-        self.node.updated.notify_one();
+        self.node.usage_changed.notify_one();
     }
 }
 
@@ -207,7 +207,7 @@
         if self.reusable
             && let Some(connection) = self.connection.take()
         {
-            self.slot.node.idle.put_back(self.endpoint.address, connection);
+            self.slot.node.idle_connections.put_back(self.endpoint.address, connection);
         }
     }
 
@@ -305,7 +305,7 @@
         }
         log_failure(call, &endpoint, failure, &parts.status.to_string());
         if failure == Failure::Refused && matches!(purpose, Purpose::Run) {
-            node.idle.put_back_after(endpoint.address, connection, body);
+            node.idle_connections.put_back_after(endpoint.address, connection, body);
         }
         return Err(failure);
     }
@@ -336,7 +336,7 @@
         Purpose::Decode { source: Some(_), .. } => "decode",
         Purpose::Decode { source: None, .. } => "prefill and decode",
     };
-    let (load, offset) = (slot.load, node.mirror().ends().endpoints);
+    let (load, offset) = (slot.load, node.mirror().offsets().endpoints);
     let left_ms = call.remaining().as_millis() as u64;
     let prompt = call.metadata.part.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
@@ -351,13 +351,13 @@
 ) -> Result<(Connection, Parts, Incoming), Error> {
     let to = endpoint.address;
     while matches!(purpose, Purpose::Run)
-        && let Some(connection) = node.idle.take(to)
+        && let Some(connection) = node.idle_connections.take(to)
     {
         match send_over(connection, build_request(call, endpoint, purpose), until).await {
             // The endpoint closed the connection while it was idle.
             Err(error) if !error.sent() => continue,
             Err(error) => {
-                node.idle.close_all(to);
+                node.idle_connections.close_all(to);
                 return Err(error);
             }
             received => return received,
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -3,7 +3,7 @@
 
 use crate::event;
 use crate::exchange::Call;
-use crate::node::{Node, Open, Reply};
+use crate::node::{InFlight, Node, Reply};
 use crate::refusal::{RETRY_AFTER, Reason, Refusal};
 use crate::{plain, quarantine, quota, shutdown, stream};
 use bytes::Bytes;
@@ -139,7 +139,7 @@
     let Some(mut table) = node.table() else {
         return Err(Refusal::retry_after(Reason::NotReady, RETRY_AFTER));
     };
-    if !node.caught_up() {
+    if !node.is_up_to_date() {
         return Err(Refusal::retry_after(Reason::NotReady, RETRY_AFTER));
     }
     let arrived = entry.arrived;
@@ -161,7 +161,7 @@
     let service = choose_service(route, &ask.id);
     shutdown::check(node, route, service, deadline.left())?;
     node.count_request(service);
-    entry.open = Some(node.begin(service));
+    entry.open = Some(node.begin_request(service));
     let mut parts = hyper::http::uri::Parts::default();
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
@@ -225,7 +225,7 @@
     status: StatusCode,
     ending: &'static str,
     /// Entry among the requests in flight, once the service is known.
-    open: Option<Open>,
+    open: Option<InFlight>,
     /// When the last frame of the response was sent.
     last_frame: Option<Instant>,
     /// Time from the request's arrival to the first frame.
@@ -277,7 +277,7 @@
     fn drop(&mut self) {
         self.node.meter.count_ending(self.ending);
         if let Some(open) = self.open.take() {
-            self.node.end(open, self.ending == ANSWERED && self.status.is_success());
+            self.node.end_request(open, self.ending == ANSWERED && self.status.is_success());
         }
         let request = self.id.as_deref().unwrap_or_default();
         let status = self.status.as_u16();
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -48,7 +48,7 @@
     let change = node.limits().note(endpoint.tag(), rate, sent_at, node.now());
     if let Some(change) = change {
         apply(node, endpoint.tag(), change, "answer");
-        node.limited.notify_one();
+        node.limits_changed.notify_one();
     }
 }
 
@@ -70,7 +70,7 @@
     merge(node, &[(endpoint, theirs)], from);
     let ours = node.limits().word(endpoint);
     if let Some(ours) = ours.filter(|word| *word != theirs) {
-        peers::post(node, &Message::Limits { words: vec![(endpoint, ours)] }, from);
+        peers::try_send(node, &Message::Limits { limits: vec![(endpoint, ours)] }, from);
     }
 }
 
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -119,11 +119,11 @@
     /// Chooses the best untried endpoint; a retry is taken from the budget.
     fn choose(&self, retries: bool) -> Option<(Key, f64)> {
         let (service, except) = (self.service, self.tried.as_slice());
-        let connections = self.node.connections(service);
+        let connections = self.node.connection_share(service);
         let stage = Stage::Plain;
         let query = Query { service, stage, capacity: 0, connections, room: None, except };
         let place = self.node.pool().choose(query, self.node.now())?;
-        if retries && !self.node.take_repeat(service) {
+        if retries && !self.node.take_retry(service) {
             self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -107,7 +107,7 @@
             let why = if self.completed { "it ran well" } else { "its run went on" };
             info!(fingerprint:% = self.request, ran_ms = ran, why; "{}", event::FORGOTTEN);
         }
-        self.node.suspected.notify_one();
+        self.node.suspicions_changed.notify_one();
     }
 }
 
@@ -156,7 +156,7 @@
         }
         quarantine.begin(request, tag, node.now());
     }
-    node.suspected.notify_one();
+    node.suspicions_changed.notify_one();
     let probe = Probe { node: node.clone(), request, started_at: None, completed: false };
     sleep(Duration::from_millis(ANNOUNCED)).await;
     if node.quarantine().gives_way(request, tag, node.now()) {
@@ -249,7 +249,7 @@
     };
     node.meter.strikes.inc();
     info!(request, fingerprint:%, to, strikes; "{}", event::STRUCK);
-    node.suspected.notify_one();
+    node.suspicions_changed.notify_one();
     if strikes >= SHUT_AT {
         let node = node.clone();
         tokio::spawn(async move {
@@ -275,8 +275,8 @@
         warn!(fingerprint:%, verdict:% = Verdict::Lifted, source = "here", why; "{}", event::RULED);
     }
     if !shut.is_empty() || !acquitted.is_empty() {
-        node.ruled.notify_one();
-        node.suspected.notify_one();
+        node.rulings_changed.notify_one();
+        node.suspicions_changed.notify_one();
     }
 }
 
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -155,12 +155,12 @@
         let Some(Charge { subject, cost, source }) = self.charge.filter(|_| unused) else {
             return;
         };
-        let limiter = self.node.desk(subject);
+        let limiter = self.node.limiter(subject);
         match source {
             Source::EvenShare => lock(&limiter.shares).give_back(subject.tag(), cost),
             Source::Owner(ip) if ip == self.node.settings.ip => limiter.refund(subject, cost),
             Source::Owner(ip) => {
-                peers::post(&self.node, &Message::GivenBack { subject, cost }, ip);
+                peers::try_send(&self.node, &Message::QuotaReturn { subject, cost }, ip);
             }
         }
     }
@@ -216,7 +216,7 @@
 /// Verdict of the owner, of the next node in its place, or of this node alone.
 async fn decide(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
     let owners = owners(node, subject);
-    let limiter = node.desk(subject);
+    let limiter = node.limiter(subject);
     for owner in owners {
         let misses = lock(&limiter.unresponsive).get(&owner).copied();
         if misses.is_some_and(|known| known.passed_over(node.now())) {
@@ -236,7 +236,7 @@
             return (verdict, Source::Owner(owner));
         }
     }
-    let (_, known) = lock(&node.members).seen(node.now());
+    let (_, known) = lock(&node.members).live_and_serving(node.now());
     let share = 1.0 / known as f64;
     let ask = as_deputy(subject, ask);
     (lock(&limiter.shares).rule_alone(ask, share, node.now()), Source::EvenShare)
@@ -245,7 +245,7 @@
 /// Starts the bucket of a limit, if this node owns it.
 pub fn start_bucket(node: &Node, subject: Subject) {
     if owns(node, subject) {
-        lock(&node.desk(subject).owned).begin(subject.tag(), node.now());
+        lock(&node.limiter(subject).owned).begin(subject.tag(), node.now());
     }
 }
 
@@ -279,9 +279,9 @@
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
         ask = as_deputy(subject, ask);
     }
-    let (seen, known) = lock(&node.members).seen(now);
+    let (seen, known) = lock(&node.members).live_and_serving(now);
     let share = seen as f64 / known as f64;
-    let verdict = lock(&node.desk(subject).owned).rule(ask, share, now);
+    let verdict = lock(&node.limiter(subject).owned).rule(ask, share, now);
     match (subject, verdict) {
         (Subject::Endpoint(endpoint), Verdict::Over { wait }) => {
             let wait = lock(&node.queues).join(endpoint, ask.limit.units_per_second, wait, now);
@@ -298,8 +298,8 @@
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().word(endpoint),
     };
-    let (number, receiver) = node.desk(subject).register(subject, cost, node.now());
-    peers::post(node, &Message::Ask { number, subject, cost, word: known }, owner);
+    let (number, receiver) = node.limiter(subject).register(subject, cost, node.now());
+    peers::try_send(node, &Message::QuotaRequest { number, subject, cost, word: known }, owner);
     timeout(QUERY_TIMEOUT, receiver).await.ok()?.ok()
 }
 
@@ -314,7 +314,7 @@
         let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
         decide_as_owner(node, subject, ask)
     });
-    Message::Ruled { number, subject, verdict }
+    Message::QuotaReply { number, subject, verdict }
 }
 
 /// Configured limit of an organisation.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -4,11 +4,11 @@
 //! If a run breaks off, the stream is resumed at another engine if its route allows, and is cut otherwise.
 
 use crate::event;
-use crate::events::Events;
 use crate::exchange::{self, Answer, Slot};
 use crate::metrics::{Metrics, Retry};
 use crate::node::Reply;
 use crate::quarantine;
+use crate::sse::Splitter;
 use crate::stream::{Failover, Generation};
 use bytes::{Bytes, BytesMut};
 use crosslane_coordination::admission::FULL;
@@ -42,7 +42,7 @@
 pub struct Relay {
     generation: Generation,
     answer: Option<Answer>,
-    events: Events,
+    events: Splitter,
     /// When to move the run away from a leaving engine.
     move_at: Option<Instant>,
     /// Remaining attempts to move the run.
@@ -65,7 +65,7 @@
 impl Relay {
     /// Starts to relay an engine's response.
     pub fn new(generation: Generation, answer: Answer) -> Self {
-        let events = Events::default();
+        let events = Splitter::default();
         Self {
             generation,
             answer: Some(answer),
@@ -153,7 +153,9 @@
             Ok(Err(_)) => Chunk::Broken("time ran out"),
             Ok(Ok(Some(Ok(frame)))) => Chunk::Data(frame.into_data().unwrap_or_default()),
             Ok(Ok(Some(Err(_)))) => Chunk::Broken("engine broke off"),
-            Ok(Ok(None)) if self.events.partial() => Chunk::Broken("engine ended within an event"),
+            Ok(Ok(None)) if self.events.has_partial() => {
+                Chunk::Broken("engine ended within an event")
+            }
             Ok(Ok(None)) => Chunk::End,
         }
     }
@@ -182,7 +184,7 @@
             Slot::acquire(&self.generation.node, place, self.generation.expected_tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
         slot.acquire_permit(&self.generation.call.metadata.id).await.ok()?;
-        if !self.generation.node.take_repeat(&self.generation.service) {
+        if !self.generation.node.take_retry(&self.generation.service) {
             return None;
         }
         let request = engine::move_run(&source, &self.generation.call.metadata.id, target.address);
@@ -297,7 +299,7 @@
         if *attempts >= route.max_attempts {
             return Some("cut: no attempt left");
         }
-        if !node.take_repeat(service) {
+        if !node.take_retry(service) {
             node.meter.count_retry(Retry::DeniedBudget);
             return Some("cut: retry budget spent");
         }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -3,7 +3,7 @@
 use crate::mirror::Topic;
 use crate::node::Node;
 use crate::shutdown::ACCEPT_TIME;
-use crate::{duty, event, follower, frontend, limit, pause, peers, quarantine, rulings};
+use crate::{event, follower, frontend, limit, orders, peers, quarantine, rulings, suspension};
 use crosslane_platform::settings::Settings;
 use derive_more::{Display, Error, From};
 use log::{info, warn};
@@ -75,10 +75,10 @@
     tokio::spawn(frontend::run(node.clone(), callers, connections.clone()));
     tokio::spawn(frontend::serve_status(node.clone(), ready, METRICS_PATH));
     tokio::spawn(frontend::serve_status(node.clone(), metrics, METRICS_PATH));
-    tokio::spawn(duty::run(node.clone()));
+    tokio::spawn(orders::run(node.clone()));
     tokio::spawn(rulings::follow(node.clone()));
     tokio::spawn(rulings::save(node.clone()));
-    tokio::spawn(pause::watch(node.clone()));
+    tokio::spawn(suspension::watch(node.clone()));
     tokio::spawn(remove_expired(node.clone()));
     let node = node.clone();
     tokio::spawn(async move {
@@ -93,7 +93,7 @@
     loop {
         sleep(EXPIRY_INTERVAL).await;
         node.control.remove_expired();
-        node.idle.remove_expired();
+        node.idle_connections.remove_expired();
         node.pool().expire(node.now());
         quarantine::remove_expired(&node);
         node.quota.remove_expired(node.now());
@@ -113,7 +113,7 @@
 async fn stop(node: &Arc<Node>, connections: &TaskTracker) {
     let started_at = Instant::now();
     node.stopping.send_replace(Some(node.now()));
-    node.changed.notify_one();
+    node.heartbeat_due.notify_one();
     info!(open = connections.len(), phase = "begin"; "{}", event::STOP);
     sleep(ACCEPT_TIME).await;
     connections.close();
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -58,7 +58,7 @@
         since_announcement: Duration::from_millis(node.now().since(announced_at)),
         grace: Duration::from_millis(node.settings.grace),
         remaining,
-        longest: node.longest(service).map_or(remaining, |longest| longest.min(remaining)),
+        longest: node.longest_duration(service).map_or(remaining, |longest| longest.min(remaining)),
         is_stream: matches!(route.kind, Kind::Stream { .. }),
     };
     if arrival.is_accepted() {
--- /dev/null
+++ b/crates/gateway/src/sse.rs
@@ -0,0 +1,53 @@
+//! Splits a stream of server-sent events after complete events, so that none is forwarded in part.
+
+use bytes::{Bytes, BytesMut};
+
+/// Terminator of an event.
+const TERMINATOR: &[u8] = b"\n\n";
+
+/// Maximum number of bytes held back for an incomplete event; the events of a site have some 500.
+const MAX_PENDING_BYTES: usize = 1 << 20;
+
+/// Buffer for the bytes of a stream that are not forwarded yet.
+#[derive(Debug, Default)]
+pub struct Splitter {
+    pending: BytesMut,
+    last_id: Option<u64>,
+}
+
+impl Splitter {
+    /// Adds bytes and takes all complete events.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
+        self.pending.extend_from_slice(bytes);
+        let end = self.pending.windows(TERMINATOR.len()).rposition(|bytes| bytes == TERMINATOR);
+        let end = match end {
+            Some(at) => at + TERMINATOR.len(),
+            None if self.pending.len() > MAX_PENDING_BYTES => self.pending.len(),
+            None => return None,
+        };
+        let complete = self.pending.split_to(end).freeze();
+        self.last_id = last_id(&complete).or(self.last_id);
+        Some(complete)
+    }
+
+    /// Whether an incomplete event is left.
+    pub fn has_partial(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    /// Drops an incomplete event after the stream broke off.
+    pub fn discard(&mut self) {
+        self.pending.clear();
+    }
+
+    /// Id of the last complete event.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
+    }
+}
+
+fn last_id(events: &[u8]) -> Option<u64> {
+    let lines = events.rsplit(|byte| *byte == b'\n');
+    let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
+    std::str::from_utf8(ids.next()?).ok()?.trim().parse().ok()
+}
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -89,7 +89,10 @@
         let caller = Caller {
             target: route.target_latency_ms,
             silence: route.caller_idle_timeout_ms(),
-            spent: call.metadata.patience.map_or(0, |patience| node.spent(&route.name, patience)),
+            spent: call
+                .metadata
+                .patience
+                .map_or(0, |patience| node.earlier_attempts_ms(&route.name, patience)),
             resumes: call.metadata.last_event.is_some(),
         };
         let timeliness = Standing::from(&caller);
@@ -195,7 +198,8 @@
     /// Prefill engine with the shortest queue, and its load.
     fn choose_prefill(&self) -> Option<(Key, f64)> {
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
-        let (capacity, connections) = (PREFILL_CAPACITY_TOKENS, self.node.connections(service));
+        let (capacity, connections) =
+            (PREFILL_CAPACITY_TOKENS, self.node.connection_share(service));
         let query = Query { service, stage, capacity, connections, room: None, except: &[] };
         self.node.pool().choose(query, self.node.now())
     }
@@ -205,7 +209,7 @@
     pub fn choose_decode(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
         let room = Some(Room { tokens: self.expected_tokens(), below });
         let (service, capacity) = (self.service.as_str(), self.engine.kv_capacity_tokens);
-        let connections = self.node.connections(service);
+        let connections = self.node.connection_share(service);
         let stage = Stage::Decode;
         let query = Query { service, stage, capacity, connections, room, except };
         self.node.pool().choose(query, self.node.now())
@@ -215,7 +219,7 @@
     /// retry budget allows: the failed prefill counts as an attempt.
     async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
         let prefilled = self.prefill(cached_at).await;
-        if prefilled.is_none() && !self.node.take_repeat(&self.service) {
+        if prefilled.is_none() && !self.node.take_retry(&self.service) {
             self.node.meter.count_retry(Retry::DeniedBudget);
             return Err(retry_later(Reason::Refused));
         }
@@ -315,7 +319,7 @@
         if quarantine::refuses_connections(engine.address).await {
             return None;
         }
-        if !self.node.take_repeat(&self.service) {
+        if !self.node.take_retry(&self.service) {
             self.node.meter.count_retry(Retry::DeniedBudget);
             return None;
         }
@@ -337,7 +341,7 @@
         let mut failure = failure;
         while !failure.quarantined() && self.attempts < self.route.max_attempts.max(1) {
             let prepaid = self.attempts == 0 || self.failover.is_some();
-            if !prepaid && !self.node.take_repeat(&self.service) {
+            if !prepaid && !self.node.take_retry(&self.service) {
                 self.node.meter.count_retry(Retry::DeniedBudget);
                 break;
             }
@@ -377,7 +381,7 @@
     /// next engine takes 0.2 s and stalls its other streams. `None` if no engine may be asked.
     async fn refetch_prompt(&self) -> Result<Option<Handle>, Failure> {
         let cached_at = self.prefilled_at.filter(|key| self.node.pool().usable(*key));
-        let Some(cached_at) = cached_at.filter(|_| self.node.take_repeat(&self.service)) else {
+        let Some(cached_at) = cached_at.filter(|_| self.node.take_retry(&self.service)) else {
             return Ok(None);
         };
         let prefilled = self.prefill(Some(cached_at)).await;
