--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -115,7 +115,7 @@
             board.sent(id);
         }
     }
-    let depths = || table.iter().map(|it| board.get(it.id).depth());
+    let depths = || table.iter().map(|runner| board.get(runner.id).depth());
     let spread = depths().max().unwrap_or(0) - depths().min().unwrap_or(0);
     println!("spread of {mode:?} over {SIZE} runners: {spread}");
     spread
--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -1,80 +1,85 @@
-//! Who gets decode memory first, and how long a request waits for it.
+//! Admission control for decode memory: who gets it first, and how long a request waits for it.
 //!
-//! Load pattern: bursts of about twice the usual traffic, which last as long as a stream does and
-//! fill all decode memory; and restarts of every node, after which the callers whose streams were
-//! cut return within 0.1 s. In both, memory for a while goes either to callers who can still be
-//! answered on time or to those who can only be late, whose answer is of little use by then.
+//! Load patterns: bursts of about twice the usual traffic, which last as long as a stream and fill
+//! all decode memory; and restarts of all nodes, after which the callers of interrupted streams
+//! return within 0.1 s. In both cases memory is scarce for a while and goes either to callers that
+//! can still be answered on time or to callers that are late already, for whom the answer is of
+//! little use.
 //!
-//! So callers on time have some memory to themselves, wait while they can still be on time, and are
-//! then sent away to come back after the burst. Those who are late already have one try left, so they
-//! wait as long as they bear silence. Among them, a caller whose stream was cut comes before one who
-//! was refused: the fault was not a burst, and those it cut off return together.
+//! Callers on time therefore have some memory reserved for them. They wait only while they can still
+//! be on time, and are then refused so that they retry after the burst. Late callers have a single
+//! try left and wait until shortly before their silence timeout. Among the late callers, those whose
+//! stream was interrupted come before those that were refused: they were cut off by a fault and not
+//! by a burst, and return all at once.
 //!
-//! In a replay of such bursts (20 seeds of 34 s, 10 streams a second, 6 engines) 52 streams are never
-//! answered, where short waits for all lose 159; of streams that are all cut at one moment 56, against 287.
+//! In a replay of such bursts (20 seeds of 34 s, 10 streams per second, 6 engines) 52 streams are
+//! never answered, compared to 159 with short waits for all callers. When all streams are interrupted
+//! at once, 56 are never answered, compared to 287.
 
 use crosslane_state::time::Millis;
 use std::collections::VecDeque;
 
-/// Share of an engine's memory above which it is believed to be full and not asked.
+/// Utilization above which an engine is considered full.
 pub const FULL: f64 = 1.0;
 
-/// The same for a caller who was refused before. What is left above it is one or two streams an
-/// engine, enough for those on time who come next.
-const LATE_FULL: f64 = 0.8;
+/// The same for callers that were refused before. The reserve above it is one or two streams per
+/// engine, enough for the callers on time that arrive next.
+const LATE_MAX_UTILIZATION: f64 = 0.8;
 
-/// The same for a caller whose stream was cut: between the two, since a fault and no burst sent it away.
-const RESUMED_FULL: f64 = 0.9;
+/// The same for callers whose stream was interrupted: between the two, as a fault cut them off and
+/// not a burst.
+const RESUMED_MAX_UTILIZATION: f64 = 0.9;
 
-/// Share of the target that a caller on time waits: the rest is for the prefill and the first step.
-const ON_TIME_WAIT: f64 = 0.5;
+/// Share of the latency target that a caller on time waits; the rest is for the prefill and the
+/// first decode step.
+const ON_TIME_WAIT_SHARE: f64 = 0.5;
 
-/// Share of the target kept for prefill and first event at the end of a late caller's wait, so that
-/// it does not leave just before its first event.
-const FIRST_EVENT: f64 = 0.8;
+/// Share of the latency target subtracted from a late caller's wait for the prefill and the first
+/// event, so that the caller does not time out just before its first event.
+const FIRST_EVENT_SHARE: f64 = 0.8;
 
-/// Share of the target that a caller may have lost elsewhere and still be answered on time. A try on a
-/// node that does not answer takes longer, a lost packet less.
-const LOST: f64 = 0.25;
+/// Share of the latency target that a caller may have spent on earlier tries and still count as on
+/// time. A try at a node that does not answer takes longer than this, a lost packet less.
+const LOST_TIME_SHARE: f64 = 0.25;
 
-/// Period over which patience is remembered, in milliseconds: some requests arrive at every node and route
-/// within it.
-const PERIOD: u64 = 20_000;
+/// Time for which timeouts are remembered: several requests arrive at each node and route within it.
+const HISTORY_MS: u64 = 20_000;
 
-/// Spread of first tries as a multiple of that of their upper quarter: four of an even one, and one for chance.
-const SPREAD: u64 = 5;
+/// Assumed spread of the timeouts of first tries, as a multiple of the spread of their upper quarter:
+/// 4 for a uniform distribution, and 1 more for chance.
+const SPREAD_FACTOR: u64 = 5;
 
-/// Values that are remembered: enough to tell a quarter of them.
-const RECENT: usize = 64;
+/// Most timeouts remembered: enough for a stable upper quartile.
+const MAX_SAMPLES: usize = 64;
 
-/// What is known of a caller who asks for memory.
+/// A caller that requests decode memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// Time within which its first event is on time, in milliseconds.
+    /// Latency target of the first event, in milliseconds.
     pub target: u64,
-    /// Longest silence that it bears, in milliseconds.
+    /// Longest time without an event before the caller gives up, in milliseconds.
     pub silence: u64,
-    /// Time that it spent on earlier tries, in milliseconds.
+    /// Time spent on earlier tries, in milliseconds.
     pub spent: u64,
-    /// Whether it takes up a stream that it has a part of.
+    /// Whether it resumes a stream of which it has a part.
     pub resumes: bool,
 }
 
-/// Whether a caller can still be answered on time.
+/// Admission class of a caller: whether it can still be answered on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     /// A first try.
     OnTime,
-    /// It was refused before.
+    /// A retry after a refusal.
     Late,
-    /// It takes up a stream that was cut.
+    /// A retry that resumes an interrupted stream.
     Resumed,
 }
 
 impl From<&Caller> for Standing {
     fn from(caller: &Caller) -> Self {
-        let lost = caller.spent as f64 > caller.target as f64 * LOST;
-        match (caller.resumes, lost) {
+        let delayed = caller.spent as f64 > caller.target as f64 * LOST_TIME_SHARE;
+        match (caller.resumes, delayed) {
             (true, _) => Self::Resumed,
             (false, true) => Self::Late,
             (false, false) => Self::OnTime,
@@ -83,12 +88,12 @@
 }
 
 impl Standing {
-    /// Load of an engine, as a share of a full one, above which it is not asked.
+    /// Utilization above which an engine is considered full for this class.
     pub fn full(self) -> f64 {
         match self {
             Self::OnTime => FULL,
-            Self::Late => LATE_FULL,
-            Self::Resumed => RESUMED_FULL,
+            Self::Late => LATE_MAX_UTILIZATION,
+            Self::Resumed => RESUMED_MAX_UTILIZATION,
         }
     }
 
@@ -96,46 +101,48 @@
     pub fn wait(self, caller: &Caller) -> u64 {
         let target = caller.target as f64;
         match self {
-            Self::OnTime => (target * ON_TIME_WAIT) as u64,
+            Self::OnTime => (target * ON_TIME_WAIT_SHARE) as u64,
             Self::Late | Self::Resumed => {
-                caller.silence.saturating_sub((target * FIRST_EVENT) as u64)
+                caller.silence.saturating_sub((target * FIRST_EVENT_SHARE) as u64)
             }
         }
     }
 }
 
-/// Longest wait for memory to go on with a stream that broke off, in milliseconds. A silent engine is
-/// found out before half of the silence is over that the caller bears.
+/// Longest wait for memory to resume a broken stream, in milliseconds: half of the caller's silence
+/// timeout. A silent engine is detected within the other half.
 pub fn resume_wait(caller: &Caller) -> u64 {
     caller.silence / 2
 }
 
-/// The patience that a route's callers told lately, from which follows who has spent some of it.
+/// Timeouts that the callers of a route sent recently, from which it follows which caller has used up
+/// part of its timeout on earlier tries.
 ///
-/// Load pattern: where all callers have one patience, whoever tells less has been somewhere before. Where
-/// patience differs from caller to caller, as by 15 in 100, that would take three first tries of four for late
-/// ones, which then wait for memory that nobody else may want, behind a mark of 0.8. So the spread of first tries is
-/// learned: they are the upper part of what is told, and lie as far below their middle as above it.
+/// Load pattern: if all callers use the same timeout, a shorter one means an earlier try. If timeouts
+/// differ between callers, for instance by 15 %, that rule would take three of four first tries for
+/// retries, which then wait behind the utilization limit of 0.8 even while the memory is free. The
+/// spread of first tries is therefore estimated: they form the upper part of the values, and are
+/// assumed to lie symmetrically around their middle.
 #[derive(Clone, Debug, Default)]
 pub struct Patience {
-    recent: VecDeque<(Millis, u64)>,
+    samples: VecDeque<(Millis, u64)>,
 }
 
 impl Patience {
-    /// Time that a caller with this patience spent on earlier tries, in milliseconds; none if a first try may
-    /// tell so little.
+    /// Time that a caller with this timeout spent on earlier tries, in milliseconds; zero if the
+    /// timeout may be that of a first try.
     pub fn spent(&mut self, patience: u64, now: Millis) -> u64 {
-        self.recent.push_back((now, patience));
-        while self.recent.len() > RECENT
-            || self.recent.front().is_some_and(|it| now.since(it.0) >= PERIOD)
+        self.samples.push_back((now, patience));
+        while self.samples.len() > MAX_SAMPLES
+            || self.samples.front().is_some_and(|sample| now.since(sample.0) >= HISTORY_MS)
         {
-            self.recent.pop_front();
+            self.samples.pop_front();
         }
-        let mut told: Vec<u64> = self.recent.iter().map(|it| it.1).collect();
-        told.sort_unstable();
-        let last = told.len() - 1;
-        let (longest, upper) = (told[last], told[last - last / 4]);
-        let least = longest.saturating_sub(SPREAD * (longest - upper));
-        if patience < least { upper - patience } else { 0 }
+        let mut values: Vec<u64> = self.samples.iter().map(|sample| sample.1).collect();
+        values.sort_unstable();
+        let last_index = values.len() - 1;
+        let (longest, upper_quartile) = (values[last_index], values[last_index - last_index / 4]);
+        let shortest_first_try = longest.saturating_sub(SPREAD_FACTOR * (longest - upper_quartile));
+        if patience < shortest_first_try { upper_quartile - patience } else { 0 }
     }
 }
--- a/crates/coordination/src/choice.rs
+++ b/crates/coordination/src/choice.rs
@@ -1,8 +1,9 @@
-//! Which of several endpoints a request is placed at.
+//! Selects an endpoint for a request.
 //!
-//! Load pattern: bursts that fill one failure domain's engines before another's. The room decides
-//! before anything is weighed: an engine of the own domain that is a little over full would else be
-//! preferred to one of another domain that has room, and the request refused.
+//! Load pattern: bursts that fill the engines of one failure domain before those of another.
+//! Endpoints without room are therefore filtered out before scoring. Otherwise an engine of the own
+//! domain that is slightly over capacity would be preferred to one of another domain that has room,
+//! and the request would be refused.
 
 use crate::entry::Entry;
 use crosslane_state::endpoint::{Key, Stage};
@@ -11,45 +12,46 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 
-/// Engines up to which all are looked at. Among more, only those of the own failure domain: what
-/// nodes of other domains have is known late, and all would choose the same one.
-pub(crate) const ALL_LOOKED_AT: usize = 24;
+/// Largest pool in which all engines are considered. In a larger one, only the engines of the own
+/// failure domain and a sample of the others are: the usage of nodes in other domains arrives late,
+/// so that all nodes would choose the same engine.
+pub(crate) const MAX_FULL_SCAN: usize = 24;
 
-/// Engines drawn among those of other domains, for when the own domain's are full or gone.
-const DRAWN: usize = 8;
+/// Number of engines sampled from other domains, for when those of the own domain are full or gone.
+const REMOTE_SAMPLE: usize = 8;
 
-/// Plain endpoints drawn: their requests are over before other nodes hear of them.
-const DRAWN_PLAIN: usize = 2;
+/// Number of plain endpoints sampled: their requests end before other nodes learn of them.
+const PLAIN_SAMPLE: usize = 2;
 
-/// Added to the load of endpoints in other failure domains, as a share of a full endpoint: traffic
-/// between domains is priced, but less than a late answer.
-const DOMAIN_PENALTY: f64 = 0.04;
+/// Score penalty of endpoints in other failure domains, in the unit of utilization: traffic between
+/// domains costs, but less than a late answer.
+const CROSS_DOMAIN_PENALTY: f64 = 0.04;
 
-/// The same among more engines than are all looked at: about one draft or prompt, which usually came
-/// since the other domain was last heard.
-const FAR_PENALTY: f64 = 0.15;
+/// The same in a pool larger than [`MAX_FULL_SCAN`]: the load of about one request, which has
+/// usually arrived since the other domain's last report.
+const LARGE_POOL_CROSS_DOMAIN_PENALTY: f64 = 0.15;
 
-/// Load, as a share of a full engine, up to which its memory is given away by what requests are expected
-/// to need: those that run have not generated all of it yet, some half of a tenth (worked out).
-const OVERBOOKED: f64 = 1.05;
+/// Utilization up to which an engine's memory is overcommitted by the expected need of its requests:
+/// running requests have not generated all of their tokens yet, which leaves about 5 % unused.
+const OVERCOMMIT_LIMIT: f64 = 1.05;
 
-/// Width of the random part of a score, which keeps nodes from choosing alike.
-const JITTER: f64 = 0.06;
+/// Width of the random part of a score, which keeps nodes from choosing the same endpoint.
+const SCORE_JITTER: f64 = 0.06;
 
-/// Room that a request needs at an engine.
+/// Free memory that a request needs at an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Room {
     /// Tokens of KV cache.
     pub tokens: u32,
-    /// Load, as a share of a full engine, above which one is not asked.
+    /// Utilization above which an engine is not considered.
     pub below: f64,
 }
 
 impl Room {
-    /// Whether an engine that is so full has it.
-    fn fits(self, fullness: f64, capacity: u64) -> bool {
-        let after = fullness + f64::from(self.tokens) / capacity.max(1) as f64;
-        fullness <= self.below && (after <= OVERBOOKED || fullness == 0.0)
+    /// Whether an engine with this utilization has the room.
+    fn fits(self, utilization: f64, capacity: u64) -> bool {
+        let after = utilization + f64::from(self.tokens) / capacity.max(1) as f64;
+        utilization <= self.below && (after <= OVERCOMMIT_LIMIT || utilization == 0.0)
     }
 }
 
@@ -60,23 +62,23 @@
     pub service: &'a str,
     /// Stage.
     pub stage: Stage,
-    /// Tokens of KV cache that one endpoint of this stage carries; zero for plain services.
+    /// KV cache of one endpoint of this stage, in tokens; zero for plain services.
     pub capacity: u64,
-    /// Connections that this node may have at one endpoint.
+    /// Most connections that this node may have at one endpoint.
     pub connections: u32,
-    /// Room that the endpoint must have; without, the least loaded is taken however full it is.
+    /// Room that the endpoint must have; with `None`, the least loaded one is chosen however full.
     pub room: Option<Room>,
-    /// Endpoints not to use.
+    /// Endpoints to exclude.
     pub except: &'a [Key],
 }
 
 impl Query<'_> {
-    /// Whether an endpoint may be given the request.
+    /// Whether an endpoint is eligible for the request.
     pub(crate) fn admits(&self, key: Key, entry: &Entry, now: Millis) -> bool {
         let endpoint = &entry.endpoint;
         !endpoint.draining
-            && entry.held <= now
-            && entry.here.requests < self.connections
+            && entry.throttled_until <= now
+            && entry.local.requests < self.connections
             && endpoint.stage == self.stage
             && endpoint.service == self.service
             && !self.except.contains(&key)
@@ -87,11 +89,11 @@
 struct Candidate<'a> {
     key: Key,
     entry: &'a Entry,
-    /// Load as a share of a full endpoint.
-    fullness: f64,
+    /// Load as a share of the endpoint's capacity.
+    utilization: f64,
 }
 
-/// The best of the endpoints that a query admits, and its load as a share of a full one.
+/// The best of the endpoints that a query admits, with its utilization.
 pub(crate) fn best(
     query: Query<'_>,
     entries: Vec<(Key, &Entry)>,
@@ -99,42 +101,45 @@
     random: &mut SmallRng,
     now: Millis,
 ) -> Option<(Key, f64)> {
-    let many = entries.len() > ALL_LOOKED_AT;
-    let loads = entries.into_iter().map(|(key, entry)| {
-        let fullness = entry.fullness(query.capacity, now);
-        Candidate { key, entry, fullness }
+    let many = entries.len() > MAX_FULL_SCAN;
+    let scanned = entries.into_iter().map(|(key, entry)| {
+        let utilization = entry.utilization(query.capacity, now);
+        Candidate { key, entry, utilization }
     });
-    let roomy =
-        |it: &Candidate<'_>| query.room.is_none_or(|room| room.fits(it.fullness, query.capacity));
-    let mut candidates: Vec<Candidate<'_>> = loads.filter(roomy).collect();
+    let has_room = |candidate: &Candidate<'_>| {
+        query.room.is_none_or(|room| room.fits(candidate.utilization, query.capacity))
+    };
+    let mut candidates: Vec<Candidate<'_>> = scanned.filter(has_room).collect();
     match query.stage {
-        Stage::Plain => draw(&mut candidates, DRAWN_PLAIN, random),
+        Stage::Plain => sample(&mut candidates, PLAIN_SAMPLE, random),
         Stage::Prefill | Stage::Decode if many => {
-            let near = |it: &Candidate<'_>| it.entry.endpoint.domain == domain;
-            let (near, mut far): (Vec<_>, Vec<_>) = candidates.into_iter().partition(near);
-            draw(&mut far, DRAWN, random);
-            candidates = near;
-            candidates.extend(far);
+            let same_domain = |candidate: &Candidate<'_>| candidate.entry.endpoint.domain == domain;
+            let (same_domain, mut other_domains): (Vec<_>, Vec<_>) =
+                candidates.into_iter().partition(same_domain);
+            sample(&mut other_domains, REMOTE_SAMPLE, random);
+            candidates = same_domain;
+            candidates.extend(other_domains);
         }
         Stage::Prefill | Stage::Decode => {}
     }
-    let away = if many { FAR_PENALTY } else { DOMAIN_PENALTY };
-    let scored = candidates.into_iter().map(|Candidate { key, entry, fullness }| {
-        let mut score = fullness + entry.penalty(now) + entry.easing(now);
+    let penalty_elsewhere =
+        if many { LARGE_POOL_CROSS_DOMAIN_PENALTY } else { CROSS_DOMAIN_PENALTY };
+    let scored = candidates.into_iter().map(|Candidate { key, entry, utilization }| {
+        let mut score = utilization + entry.penalty(now) + entry.slow_start_load(now);
         if entry.endpoint.domain != domain {
-            score += away;
+            score += penalty_elsewhere;
         }
-        if entry.lapsed.is_some() {
+        if entry.lapsed_at.is_some() {
             score += 0.5;
         }
-        (key, fullness, score + random.random_range(0.0..JITTER))
+        (key, utilization, score + random.random_range(0.0..SCORE_JITTER))
     });
-    let best = scored.min_by(|one, other| one.2.total_cmp(&other.2));
-    best.map(|(key, fullness, _)| (key, fullness))
+    let best = scored.min_by(|a, b| a.2.total_cmp(&b.2));
+    best.map(|(key, utilization, _)| (key, utilization))
 }
 
-/// Leaves so many, drawn at random.
-fn draw(candidates: &mut Vec<Candidate<'_>>, count: usize, random: &mut SmallRng) {
+/// Keeps a random sample of at most `count` candidates.
+fn sample(candidates: &mut Vec<Candidate<'_>>, count: usize, random: &mut SmallRng) {
     if candidates.len() > count {
         candidates.partial_shuffle(random, count);
         candidates.drain(..candidates.len() - count);
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims on keys whose requests may not be repeated, as the log and peers tell them.
+//! Claims on the keys of requests that may not be repeated, collected from the log and from peers.
 //!
-//! The first claim of a key stands. After a node has departed, keys that it may have owned are
-//! in doubt until its claims have all been collected.
+//! A node claims a key before it runs the request. The first claim on a key wins. After a node has
+//! departed, keys that it may have owned are in doubt until all of its claims have been collected.
 
 use crosslane_state::hash;
 use crosslane_state::incarnation::Incarnation;
@@ -9,16 +9,16 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// Why a key that the ledger does not know may have been run all the same.
+/// Why a request may have been run although the ledger has no record of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Doubt {
-    /// Another node claimed it.
+    /// Another node claimed the key.
     Claimed,
-    /// A node that owned it has departed, and its claims are not all known here yet.
+    /// A node that owned the key has departed, and not all of its claims are known here yet.
     Unsettled,
 }
 
-/// A member that the log says is no more.
+/// A member whose departure is in the log.
 #[derive(Clone, Copy, Debug)]
 struct Departed {
     incarnation: Incarnation,
@@ -26,67 +26,79 @@
     settled: bool,
 }
 
-/// Claims by key hash, for a window of time.
+/// Claims by key hash, kept for a time window.
 #[derive(Clone, Debug)]
 pub struct Claims {
     window_millis: u64,
-    first: HashMap<u64, Incarnation>,
-    ages: VecDeque<(Millis, u64)>,
+    first_claims: HashMap<u64, Incarnation>,
+    claim_ages: VecDeque<(Millis, u64)>,
     departed: Vec<Departed>,
 }
 
 impl Claims {
-    /// No claims, each to be remembered for a window in milliseconds.
+    /// An empty set of claims, each of which is kept for a window in milliseconds.
     pub fn new(window_millis: u64) -> Self {
-        Self { window_millis, first: HashMap::new(), ages: VecDeque::new(), departed: Vec::new() }
+        Self {
+            window_millis,
+            first_claims: HashMap::new(),
+            claim_ages: VecDeque::new(),
+            departed: Vec::new(),
+        }
     }
 
-    /// Takes a claim; the first one of a key stands.
+    /// Adds a claim, unless the key is already claimed.
     pub fn claim(&mut self, key: u64, by: Incarnation, now: Millis) {
-        while let Some((at, old)) = self.ages.front().copied() {
+        while let Some((at, expired)) = self.claim_ages.front().copied() {
             if now.since(at) < self.window_millis {
                 break;
             }
-            self.ages.pop_front();
-            self.first.remove(&old);
+            self.claim_ages.pop_front();
+            self.first_claims.remove(&expired);
         }
-        if let Entry::Vacant(vacant) = self.first.entry(key) {
+        if let Entry::Vacant(vacant) = self.first_claims.entry(key) {
             vacant.insert(by);
-            self.ages.push_back((now, key));
+            self.claim_ages.push_back((now, key));
         }
     }
 
-    /// Whether a node other than `by` claimed a key first.
+    /// Whether the first claim on a key was made by a node other than `by`.
     pub fn by_other(&self, key: u64, by: Incarnation) -> bool {
-        self.first.get(&key).is_some_and(|first| *first != by)
+        self.first_claims.get(&key).is_some_and(|first| *first != by)
     }
 
-    /// Notes a departure; `settled` if the node handed everything over.
+    /// Records a departure; `settled` if the node handed over all its state.
     pub fn departed(&mut self, incarnation: Incarnation, settled: bool, now: Millis) {
-        self.departed.retain(|it| now.since(it.at) < self.window_millis);
+        self.departed.retain(|departed| now.since(departed.at) < self.window_millis);
         self.departed.push(Departed { incarnation, at: now, settled });
     }
 
-    /// Departed nodes whose claims have not been collected.
+    /// Departed nodes whose claims have not all been collected.
     pub fn unsettled(&self) -> Vec<Incarnation> {
-        self.departed.iter().filter(|it| !it.settled).map(|it| it.incarnation).collect()
+        self.departed
+            .iter()
+            .filter(|departed| !departed.settled)
+            .map(|departed| departed.incarnation)
+            .collect()
     }
 
-    /// Notes that a departed node's claims are all known here.
+    /// Records that all claims of a departed node are known here.
     pub fn settle(&mut self, incarnation: Incarnation) {
-        for departed in self.departed.iter_mut().filter(|it| it.incarnation == incarnation) {
+        for departed in
+            self.departed.iter_mut().filter(|departed| departed.incarnation == incarnation)
+        {
             departed.settled = true;
         }
     }
 
-    /// What speaks against running a key at a node.
+    /// Why the node `at` must not run a key now, if there is a reason.
     pub fn doubt(&self, key: u64, at: Incarnation) -> Option<Doubt> {
         if self.by_other(key, at) {
             return Some(Doubt::Claimed);
         }
         let weight = hash::weight(key, at.0);
-        let owned = |it: &&Departed| hash::weight(key, it.incarnation.0) > weight;
-        let mut unsettled = self.departed.iter().filter(|it| !it.settled);
-        unsettled.find(owned).map(|_| Doubt::Unsettled)
+        let ranked_higher =
+            |departed: &&Departed| hash::weight(key, departed.incarnation.0) > weight;
+        let mut unsettled = self.departed.iter().filter(|departed| !departed.settled);
+        unsettled.find(ranked_higher).map(|_| Doubt::Unsettled)
     }
 }
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -1,20 +1,22 @@
-//! What a node knows of one endpoint: what it carries, and how well it has answered.
+//! Load and health of one endpoint as one node sees them.
 
 use crate::health::Health;
 use crate::usage::Usage;
 use crosslane_state::endpoint::{Endpoint, Tag};
 use crosslane_state::time::Millis;
 
-/// Failures that others have seen from which on this node tells them of its successes there.
-const DOUBTED: f32 = 0.5;
+/// Weighted outcomes above which they are shared: failures always, successes only if other nodes
+/// report failures.
+const SHARED_OUTCOMES: f32 = 0.5;
 
-/// Time that a load report is used, in milliseconds; plain calls last some 60 ms.
-const LOAD_LIFE: u64 = 400;
+/// Time for which a load report is used. Plain calls last about 60 ms.
+const LOAD_REPORT_TTL_MS: u64 = 400;
 
-/// Time in which an endpoint that ceased to name a limit gets its full part again, in milliseconds, and the load of full
-/// endpoints that it is taken to have at first. It looks empty, and all nodes would send it what comes at once.
-const EASES: u64 = 3_000;
-const EASED: f64 = 0.5;
+/// Duration of the slow start after an endpoint lifts its rate limit, and the additional utilization
+/// it is assumed to have at the start. Without it, the endpoint looks empty and all nodes would send
+/// it their new requests at once.
+const SLOW_START_MS: u64 = 3_000;
+const SLOW_START_LOAD: f64 = 0.5;
 
 /// A load report that came with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,65 +25,68 @@
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// Requests it works on at once.
+    /// Requests that the endpoint processes at once.
     pub slots: u32,
 }
 
-/// What is known of one endpoint.
+/// An endpoint with its load and health.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) tag: Tag,
     pub(crate) endpoint: Endpoint,
-    pub(crate) here: Usage,
-    pub(crate) elsewhere: Usage,
+    pub(crate) local: Usage,
+    pub(crate) remote: Usage,
     pub(crate) health: Health,
-    pub(crate) load: Option<(Load, Millis)>,
-    /// When its record went, if it may come back.
-    pub(crate) lapsed: Option<Millis>,
-    /// Until when its limit has no room for this node.
-    pub(crate) held: Millis,
-    /// When it ceased to name a limit.
-    pub(crate) eased: Option<Millis>,
+    pub(crate) reported_load: Option<(Load, Millis)>,
+    /// When its record disappeared, if it may return.
+    pub(crate) lapsed_at: Option<Millis>,
+    /// Time until which its rate limit leaves no room for this node.
+    pub(crate) throttled_until: Millis,
+    /// When it lifted its rate limit.
+    pub(crate) limit_lifted_at: Option<Millis>,
 }
 
 impl Entry {
-    /// What this node has there, as it is told to others.
-    pub(crate) fn row(&self, now: Millis) -> (Tag, Usage) {
+    /// This node's usage of the endpoint, as shared with other nodes.
+    pub(crate) fn usage_row(&self, now: Millis) -> (Tag, Usage) {
         let outcomes = self.health.record(now);
-        (self.tag, Usage { outcomes, ..self.here })
+        (self.tag, Usage { outcomes, ..self.local })
     }
 
-    /// How much it is to be avoided: what this node saw itself, or all nodes together.
+    /// Score penalty for failures: by the outcomes of this node alone or of all nodes together,
+    /// whichever is higher.
     pub(crate) fn penalty(&self, now: Millis) -> f64 {
-        let here = self.health.record(now);
-        here.penalty().max(here.plus(self.elsewhere.outcomes).penalty())
+        let local = self.health.record(now);
+        local.penalty().max(local.plus(self.remote.outcomes).penalty())
     }
 
-    /// Load that it is taken to have beside its own, while it comes back from need.
-    pub(crate) fn easing(&self, now: Millis) -> f64 {
-        let since = self.eased.map_or(EASES, |at| now.since(at));
-        EASED * EASES.saturating_sub(since) as f64 / EASES as f64
+    /// Utilization added during the slow start; it falls linearly to zero.
+    pub(crate) fn slow_start_load(&self, now: Millis) -> f64 {
+        let elapsed = self.limit_lifted_at.map_or(SLOW_START_MS, |at| now.since(at));
+        SLOW_START_LOAD * SLOW_START_MS.saturating_sub(elapsed) as f64 / SLOW_START_MS as f64
     }
 
-    /// Whether other nodes need to know what this one has there.
-    pub(crate) fn worth_telling(&self, now: Millis) -> bool {
-        let Usage { requests, tokens, .. } = self.here;
+    /// Whether other nodes need to know this node's usage of the endpoint.
+    pub(crate) fn worth_sharing(&self, now: Millis) -> bool {
+        let Usage { requests, tokens, .. } = self.local;
         let outcomes = self.health.record(now);
-        let doubted = self.elsewhere.outcomes.failures > DOUBTED && outcomes.successes > DOUBTED;
-        requests > 0 || tokens > 0 || outcomes.failures > DOUBTED || doubted
+        let disputed =
+            self.remote.outcomes.failures > SHARED_OUTCOMES && outcomes.successes > SHARED_OUTCOMES;
+        requests > 0 || tokens > 0 || outcomes.failures > SHARED_OUTCOMES || disputed
     }
 
-    /// Load as a share of what it carries.
-    pub(crate) fn fullness(&self, capacity: u64, now: Millis) -> f64 {
+    /// Load as a share of the endpoint's capacity: by tokens of KV cache, or by slots if `capacity`
+    /// is zero.
+    pub(crate) fn utilization(&self, capacity: u64, now: Millis) -> f64 {
         if capacity > 0 {
-            return f64::from(self.here.tokens + self.elsewhere.tokens) / capacity as f64;
+            return f64::from(self.local.tokens + self.remote.tokens) / capacity as f64;
         }
         let slots = f64::from(self.endpoint.slots.max(1));
-        let reported = match self.load {
-            Some((load, at)) if now.since(at) < LOAD_LIFE => load.running + load.waiting,
+        let reported = match self.reported_load {
+            Some((load, at)) if now.since(at) < LOAD_REPORT_TTL_MS => load.running + load.waiting,
             _ => 0,
         };
-        let counted = self.here.requests + self.elsewhere.requests;
-        f64::from(reported.max(counted)) / slots
+        let tracked = self.local.requests + self.remote.requests;
+        f64::from(reported.max(tracked)) / slots
     }
 }
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -1,7 +1,7 @@
-//! The fold of the control stream: members, leaving VMs and policy.
+//! Replicated state machine over the control stream: members, leaving VMs and policy.
 //!
-//! The log's order is the one arbiter. Every node folds the same records in the same order
-//! and so comes to the same state; a doubled record changes nothing.
+//! The order of the log decides every conflict. All nodes fold the same records in the same order
+//! and so reach the same state. Duplicate records have no effect.
 
 use crate::record::{Leave, Record};
 use crosslane_state::incarnation::Incarnation;
@@ -12,22 +12,22 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Publications kept for `policy history`.
-const HISTORY: usize = 64;
+const MAX_HISTORY: usize = 64;
 
-/// Identities of publications and announcements kept to settle doubled records.
-const REMEMBERED: usize = 4_096;
+/// Ids of publications and announcements kept to detect duplicate records.
+const MAX_REMEMBERED: usize = 4_096;
 
-/// What became of a publication.
+/// Outcome of a publication.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It counted and made this version.
+    /// It was applied as this version.
     #[display("counted as version {_0}")]
     Counted(Version),
-    /// Another came first; this version was in force.
+    /// Another publication came first; this version was in force.
     #[display("lost the race: version {_0} came first")]
     Lost(Version),
-    /// It was taken back before it was accepted.
+    /// It was withdrawn before it was accepted.
     #[display("withdrawn")]
     Withdrawn,
 }
@@ -35,45 +35,48 @@
 /// Why a record can't be folded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Records between the last folded one and this are missing.
+    /// Records between the last folded one and this one are missing.
     #[display("records from {expected} to {found} are missing")]
     Gap {
-        /// Offset that was due.
+        /// Offset of the next record to fold.
         expected: u64,
-        /// Offset that came.
+        /// Offset of the record found.
         found: u64,
     },
 }
 
-/// Everything the control stream says.
+/// State folded from the control stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// Offset of the next record to fold.
+    #[serde(rename = "next")]
     pub next: u64,
-    /// Members.
+    /// Member nodes.
     pub roster: Roster,
-    /// Leaving VMs.
+    /// Announcements of leaving VMs, by VM.
     pub leaving: BTreeMap<String, Leave>,
-    /// Announcements that no longer hold.
+    /// Ids of announcements that have ended, oldest first.
+    #[serde(rename = "ended")]
     pub ended: VecDeque<String>,
-    /// Departed nodes that handed everything over.
+    /// Departed nodes that handed over all their state.
     pub released: BTreeSet<Incarnation>,
-    /// Publications that counted, oldest first.
+    /// Applied publications, oldest first.
     pub history: VecDeque<Publication>,
-    /// What became of each publication, oldest first.
+    /// Outcome of each publication, oldest first.
     pub verdicts: VecDeque<(String, Verdict)>,
     /// Offset of the last checkpoint.
+    #[serde(rename = "checkpoint")]
     pub checkpoint: u64,
 }
 
 impl State {
-    /// Folds the record at an offset; one already folded changes nothing.
+    /// Folds the record at an offset. A record that was already folded has no effect.
     pub fn fold(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
         if offset < self.next {
             return Ok(());
         }
         if offset > self.next {
-            return self.bridge(offset, record);
+            return self.restore(offset, record);
         }
         self.next = offset + 1;
         if let Some(record) = record {
@@ -82,36 +85,36 @@
         Ok(())
     }
 
-    /// Version in force, or about to be everywhere.
+    /// Newest version, which may not be in force at every node yet.
     pub fn version(&self) -> Version {
-        self.history.back().map_or_else(Version::default, |it| it.version)
+        self.history.back().map_or_else(Version::default, |publication| publication.version)
     }
 
-    /// Program in force, if any was published.
+    /// Program of the newest version, if any was published.
     pub fn program(&self) -> Option<&str> {
-        self.history.back().map(|it| it.program.as_str())
+        self.history.back().map(|publication| publication.program.as_str())
     }
 
-    /// What became of a publication.
+    /// Outcome of a publication.
     pub fn verdict(&self, id: &str) -> Option<&Verdict> {
-        self.verdicts.iter().rev().find(|(it, _)| it == id).map(|(_, verdict)| verdict)
+        self.verdicts.iter().rev().find(|(known, _)| known == id).map(|(_, verdict)| verdict)
     }
 
-    /// An announcement with the node that it holds for, if its VM has one.
+    /// An announcement with its node filled in, if the VM has a member.
     pub fn stamped(&self, leave: Leave) -> Leave {
-        let member = self.roster.iter().find(|it| it.vm == leave.vm);
-        let node = leave.node.or(member.map(|it| it.incarnation));
+        let member = self.roster.iter().find(|member| member.vm == leave.vm);
+        let node = leave.node.or(member.map(|found| found.incarnation));
         Leave { node, ..leave }
     }
 
-    /// Whether an announcement still holds: not once its node was replaced.
+    /// Whether an announcement still applies: no longer once its node was replaced.
     pub fn stands(&self, leave: &Leave) -> bool {
-        leave.node.is_none_or(|it| self.roster.get(it).is_some())
+        leave.node.is_none_or(|node| self.roster.get(node).is_some())
     }
 
     /// Failure domains that have not confirmed the newest version.
     pub fn missing(&self) -> BTreeSet<String> {
-        let Some(newest) = self.history.back().filter(|it| !it.accepted) else {
+        let Some(newest) = self.history.back().filter(|publication| !publication.accepted) else {
             return BTreeSet::new();
         };
         self.domains().difference(&newest.confirmed).cloned().collect()
@@ -119,11 +122,11 @@
 
     /// Failure domains that have members.
     pub fn domains(&self) -> BTreeSet<String> {
-        self.roster.iter().map(|it| it.domain.clone()).collect()
+        self.roster.iter().map(|member| member.domain.clone()).collect()
     }
 
-    /// Takes a checkpoint's state across a gap; reading goes on from its `next`.
-    fn bridge(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
+    /// Replaces the state by that of a checkpoint after a gap; folding continues at its next offset.
+    fn restore(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
         match record {
             Some(Record::Checkpoint { state }) if state.next > self.next => {
                 *self = *state;
@@ -138,16 +141,16 @@
             Record::Join { member } => {
                 self.end_leave(&member.vm);
                 self.roster.join(member);
-                self.accept();
+                self.accept_if_confirmed();
             }
             Record::Depart { incarnation, released } => {
                 if self.roster.depart(incarnation).is_some() && released {
                     self.released.insert(incarnation);
-                    while self.released.len() > HISTORY {
+                    while self.released.len() > MAX_HISTORY {
                         self.released.pop_first();
                     }
                 }
-                self.accept();
+                self.accept_if_confirmed();
             }
             Record::Leave { leave } => {
                 let leave = self.stamped(leave);
@@ -168,7 +171,7 @@
     fn end_leave(&mut self, vm: &str) {
         if let Some(leave) = self.leaving.remove(vm) {
             self.ended.push_back(leave.id);
-            if self.ended.len() > REMEMBERED {
+            if self.ended.len() > MAX_REMEMBERED {
                 self.ended.pop_front();
             }
         }
@@ -179,12 +182,12 @@
             return;
         }
         if base != self.version() {
-            self.settle(id, Verdict::Lost(self.version()));
+            self.record_outcome(id, Verdict::Lost(self.version()));
             return;
         }
         let version = Version(base.0 + 1);
-        self.settle(id.clone(), Verdict::Counted(version));
-        self.push(Publication {
+        self.record_outcome(id.clone(), Verdict::Counted(version));
+        self.push_publication(Publication {
             id,
             version,
             program,
@@ -194,21 +197,24 @@
         });
     }
 
-    /// Puts the program before the newest in force again, under a new version.
+    /// Restores the program before the newest one under a new version.
     fn withdraw(&mut self, id: &str) {
-        let Some(newest) = self.history.back().filter(|it| it.id == id && !it.accepted) else {
+        let Some(newest) =
+            self.history.back().filter(|publication| publication.id == id && !publication.accepted)
+        else {
             return;
         };
         let version = Version(newest.version.0 + 1);
         let author = newest.author.clone();
-        let before = self.history.iter().rev().nth(1).map(|it| it.program.clone());
-        if let Some(entry) = self.verdicts.iter_mut().find(|(it, _)| it == id) {
+        let previous =
+            self.history.iter().rev().nth(1).map(|publication| publication.program.clone());
+        if let Some(entry) = self.verdicts.iter_mut().find(|(known, _)| known == id) {
             entry.1 = Verdict::Withdrawn;
         }
-        self.push(Publication {
+        self.push_publication(Publication {
             id: format!("{id}/withdrawn"),
             version,
-            program: before.unwrap_or_else(|| crate::program::DEFAULT.to_owned()),
+            program: previous.unwrap_or_else(|| crate::program::DEFAULT.to_owned()),
             author,
             confirmed: BTreeSet::new(),
             accepted: false,
@@ -216,13 +222,15 @@
     }
 
     fn confirm(&mut self, version: Version, domain: String) {
-        if let Some(newest) = self.history.back_mut().filter(|it| it.version == version) {
+        if let Some(newest) =
+            self.history.back_mut().filter(|publication| publication.version == version)
+        {
             newest.confirmed.insert(domain);
         }
-        self.accept();
+        self.accept_if_confirmed();
     }
 
-    fn accept(&mut self) {
+    fn accept_if_confirmed(&mut self) {
         let domains = self.domains();
         if let Some(newest) = self.history.back_mut()
             && !domains.is_empty()
@@ -232,16 +240,16 @@
         }
     }
 
-    fn push(&mut self, publication: Publication) {
+    fn push_publication(&mut self, publication: Publication) {
         self.history.push_back(publication);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    fn settle(&mut self, id: String, verdict: Verdict) {
+    fn record_outcome(&mut self, id: String, verdict: Verdict) {
         self.verdicts.push_back((id, verdict));
-        if self.verdicts.len() > REMEMBERED {
+        if self.verdicts.len() > MAX_REMEMBERED {
             self.verdicts.pop_front();
         }
     }
--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -1,8 +1,9 @@
-//! The way of one keyed request: to the owner of its key, past those that owned it before.
+//! Routing of one keyed request to the owner of its key.
 //!
-//! A key may be run only by a node that every earlier owner has given the key up to. The
-//! flow says what to do next; the node does it and tells the flow what came of it. A minted key
-//! names a request that came without one and is not remembered: sent back, it may have run.
+//! A node may run a request only after every earlier owner of the key has released the key to it.
+//! [`Flow`] is a state machine without I/O: it returns the next step, and the caller executes the
+//! step and reports its result. A minted key was assigned by a node to a request that came without a
+//! key, and is not recorded: a request that brings one back may have run.
 
 use crate::claims::Doubt;
 use crate::ledger::Begin;
@@ -13,25 +14,25 @@
 use crosslane_state::time::Millis;
 use std::sync::Arc;
 
-/// Owners that a request may be forwarded to, one after another.
+/// Most owners to which a request is forwarded, one after another.
 pub const MOST_FORWARDS: usize = 4;
 
-/// What to do next.
+/// Next step of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask a node to give the key up.
+    /// Ask a node to release the key.
     Inquire(Incarnation),
     /// Forward the request to a node.
     Forward(Incarnation),
-    /// Tell the node that forwarded it whom to try instead.
+    /// Answer the node that forwarded the request with the owner to try instead.
     Name(Incarnation),
     /// Run it here.
     Run,
-    /// Join the run here.
+    /// Wait for the run in progress here.
     Join,
-    /// Give the recorded answer.
+    /// Return the recorded answer.
     Replay(Arc<Answer>),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
@@ -40,20 +41,20 @@
 pub enum Refusal {
     /// The key was used for another request.
     Mismatch,
-    /// No room to remember the key.
+    /// There is no room to record the key.
     Full,
     /// It may have run.
     Unknown,
-    /// A departed node may have run it; this is being found out.
+    /// A departed node may have run it, and that node's claims are not all collected yet.
     InDoubt,
-    /// A node that may know the key can't be reached.
+    /// A node that may know the key is unreachable.
     Unreachable,
 }
 
-/// What came of an inquiry.
+/// Result of asking a node to release a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inquired {
-    /// The node knows nothing under the key and has given it up.
+    /// The node does not know the key and has released it.
     Free,
     /// The node knows the key.
     Known,
@@ -61,50 +62,50 @@
     Silent,
 }
 
-/// What came of a forward, unless it was answered.
+/// Result of a forward that was not answered with a reply to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forwarded {
-    /// The node named another.
+    /// The node named another owner.
     Named(Incarnation),
-    /// The node did not take it.
+    /// The node did not receive the request.
     Unreached,
-    /// The node may have taken it and is gone.
+    /// The node may have received the request, but the reply was lost.
     Lost,
 }
 
-/// A keyed request on its way.
+/// State machine of one keyed request.
 #[derive(Clone, Debug)]
 pub struct Flow {
     key: Key,
     fingerprint: u64,
     repeatable: bool,
-    inner: bool,
-    passed: Vec<Incarnation>,
-    asking: Vec<Incarnation>,
-    given_up: Vec<Incarnation>,
-    since: u64,
+    forwarded_here: bool,
+    released_by: Vec<Incarnation>,
+    to_ask: Vec<Incarnation>,
+    released: Vec<Incarnation>,
+    release_mark: u64,
     forwards: Vec<Incarnation>,
 }
 
 impl Flow {
-    /// A request that came from a caller.
+    /// A request received from a caller.
     pub fn new(key: Key, fingerprint: u64, repeatable: bool) -> Self {
         Self {
             key,
             fingerprint,
             repeatable,
-            inner: false,
-            passed: Vec::new(),
-            asking: Vec::new(),
-            given_up: Vec::new(),
-            since: 0,
+            forwarded_here: false,
+            released_by: Vec::new(),
+            to_ask: Vec::new(),
+            released: Vec::new(),
+            release_mark: 0,
             forwards: Vec::new(),
         }
     }
 
-    /// The same request as forwarded by another node, past some that gave its key up.
-    pub fn forwarded_past(self, passed: Vec<Incarnation>) -> Self {
-        Self { inner: true, passed, ..self }
+    /// The same request, but received from another node, with the nodes that have released its key.
+    pub fn forwarded_past(self, released_by: Vec<Incarnation>) -> Self {
+        Self { forwarded_here: true, released_by, ..self }
     }
 
     /// The key.
@@ -112,12 +113,12 @@
         &self.key
     }
 
-    /// Nodes that named another when the request was forwarded to them.
+    /// Nodes that named another owner when the request was forwarded to them.
     pub fn forwards(&self) -> &[Incarnation] {
         &self.forwards
     }
 
-    /// Sets out.
+    /// Returns the first step.
     pub fn start(&mut self, node: &mut Node, now: Millis) -> Step {
         if node.ledger.knows(&self.key) {
             return self.begin(node, now);
@@ -125,25 +126,25 @@
         if self.key.minted_by().is_some() {
             return Step::Refuse(Refusal::Unknown);
         }
-        self.since = node.ledger.releases();
-        self.given_up.clear();
-        match node.route(&self.key, &self.passed, now) {
+        self.release_mark = node.ledger.releases();
+        self.released.clear();
+        match node.route(&self.key, &self.released_by, now) {
             Route::Here { mut ask } => {
                 ask.reverse();
-                self.asking = ask;
-                self.inquire(node, now)
+                self.to_ask = ask;
+                self.ask_next(node, now)
             }
             Route::There(owner) => {
-                if self.inner {
+                if self.forwarded_here {
                     node.ledger.release(&self.key, owner, now);
                 }
-                self.send(owner)
+                self.hand_to(owner)
             }
             Route::Nowhere => Step::Refuse(Refusal::Unreachable),
         }
     }
 
-    /// Goes on after an inquiry.
+    /// Returns the next step after a node was asked to release the key.
     pub fn inquired(
         &mut self,
         by: Incarnation,
@@ -152,14 +153,14 @@
         now: Millis,
     ) -> Step {
         match inquired {
-            Inquired::Known => return self.send(by),
+            Inquired::Known => return self.hand_to(by),
             Inquired::Silent if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
-            Inquired::Silent | Inquired::Free => self.given_up.push(by),
+            Inquired::Silent | Inquired::Free => self.released.push(by),
         }
-        self.inquire(node, now)
+        self.ask_next(node, now)
     }
 
-    /// Goes on after a forward that was not answered.
+    /// Returns the next step after a forward that was not answered.
     pub fn forwarded(
         &mut self,
         to: Incarnation,
@@ -173,7 +174,7 @@
             }
             Forwarded::Named(owner) if owner == node.options().me => {
                 self.forwards.push(to);
-                self.passed.push(to);
+                self.released_by.push(to);
                 self.start(node, now)
             }
             Forwarded::Named(owner) => {
@@ -181,21 +182,21 @@
                 Step::Forward(owner)
             }
             Forwarded::Unreached | Forwarded::Lost if self.repeatable => {
-                node.ledger.reclaim(&self.key, u64::MAX, |it| it == to);
+                node.ledger.reclaim(&self.key, u64::MAX, |holder| holder == to);
                 self.begin(node, now)
             }
             Forwarded::Unreached | Forwarded::Lost => Step::Refuse(Refusal::Unreachable),
         }
     }
 
-    fn inquire(&mut self, node: &mut Node, now: Millis) -> Step {
-        if let Some(next) = self.asking.pop() {
+    fn ask_next(&mut self, node: &mut Node, now: Millis) -> Step {
+        if let Some(next) = self.to_ask.pop() {
             return Step::Inquire(next);
         }
-        let given_up = &self.given_up;
-        node.ledger.reclaim(&self.key, self.since, |it| given_up.contains(&it));
+        let released = &self.released;
+        node.ledger.reclaim(&self.key, self.release_mark, |holder| released.contains(&holder));
         let roster = &node.state.roster;
-        node.ledger.reclaim(&self.key, u64::MAX, |it| roster.get(it).is_none());
+        node.ledger.reclaim(&self.key, u64::MAX, |holder| roster.get(holder).is_none());
         self.begin(node, now)
     }
 
@@ -211,14 +212,14 @@
             Begin::Run => Step::Run,
             Begin::Join => Step::Join,
             Begin::Replay(answer) => Step::Replay(answer),
-            Begin::Moved(owner) => self.send(owner),
+            Begin::Moved(owner) => self.hand_to(owner),
             Begin::Mismatch => Step::Refuse(Refusal::Mismatch),
             Begin::Full => Step::Refuse(Refusal::Full),
             Begin::Unknown => Step::Refuse(Refusal::Unknown),
         }
     }
 
-    fn send(&self, owner: Incarnation) -> Step {
-        if self.inner { Step::Name(owner) } else { Step::Forward(owner) }
+    fn hand_to(&self, owner: Incarnation) -> Step {
+        if self.forwarded_here { Step::Name(owner) } else { Step::Forward(owner) }
     }
 }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,9 +1,9 @@
-//! Endings: what became of each keyed request, so that none runs or is answered twice.
+//! Idempotency records of keyed requests, so that none runs or is answered twice.
 //!
-//! The owner of a key holds its entry. Answers are bounded by count, bytes and age; an answer
-//! that is dropped leaves a tombstone, which answers `unknown` for the rest of the window. When
-//! tombstones are full, new requests that may not be repeated are refused, never forgotten;
-//! those that may be are forgotten.
+//! The owner of a key holds its entry. Recorded answers are bounded by count, bytes and age. An
+//! evicted answer leaves a tombstone, for which the outcome is unknown for the rest of the window.
+//! When the tombstones are full, new requests that may not be repeated are refused, as their keys
+//! must not be forgotten; the keys of repeatable requests are dropped instead.
 
 use crosslane_state::answer::Answer;
 use crosslane_state::incarnation::Incarnation;
@@ -15,13 +15,13 @@
 /// Bounds of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Answers kept.
+    /// Most answers kept.
     pub answers: usize,
-    /// Bytes of answers kept.
+    /// Most bytes of answers kept.
     pub bytes: usize,
-    /// Age at which an answer is dropped, in milliseconds.
+    /// Age at which an answer is evicted, in milliseconds.
     pub answer_millis: u64,
-    /// Keys remembered after their answer is dropped.
+    /// Most keys remembered after their answers were evicted.
     pub tombstones: usize,
     /// Time for which a key is remembered, in milliseconds.
     pub window_millis: u64,
@@ -32,15 +32,15 @@
 pub enum Begin {
     /// Run it.
     Run,
-    /// It is running here: join it.
+    /// It is running here: wait for the same run.
     Join,
-    /// It ended: give this answer again.
+    /// It has ended: replay this answer.
     Replay(Arc<Answer>),
-    /// The key belongs to another request.
+    /// The key was used for another request.
     Mismatch,
     /// Another node owns the key.
     Moved(Incarnation),
-    /// It may have run, and its answer is not known.
+    /// It may have run, and its answer is not available.
     Unknown,
     /// There is no room to remember it.
     Full,
@@ -49,9 +49,9 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a whole answer.
+    /// With a complete answer.
     Done(Arc<Answer>),
-    /// Nothing was handed to a runner.
+    /// Nothing was sent to a runner.
     NotRun,
     /// It may have run.
     Unknown,
@@ -60,8 +60,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     Running,
-    Recorded(Arc<Answer>),
-    Lost,
+    Answered(Arc<Answer>),
+    Tombstone,
     Released { to: Incarnation, order: u64 },
 }
 
@@ -70,16 +70,16 @@
     fingerprint: u64,
     repeatable: bool,
     phase: Phase,
-    at: Millis,
+    updated_at: Millis,
 }
 
-/// Entries by key.
+/// Idempotency records by key.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     limits: Limits,
     entries: HashMap<Key, Entry>,
-    recorded: VecDeque<(Millis, Key)>,
-    buried: VecDeque<(Millis, Key)>,
+    answered_queue: VecDeque<(Millis, Key)>,
+    tombstone_queue: VecDeque<(Millis, Key)>,
     bytes: usize,
     releases: u64,
 }
@@ -90,129 +90,134 @@
         Self {
             limits,
             entries: HashMap::new(),
-            recorded: VecDeque::new(),
-            buried: VecDeque::new(),
+            answered_queue: VecDeque::new(),
+            tombstone_queue: VecDeque::new(),
             bytes: 0,
             releases: 0,
         }
     }
 
-    /// Begins a request, joins it or answers it again.
+    /// Decides whether a request is run, joined, replayed or refused, and records a new one.
     pub fn begin(&mut self, key: &Key, fingerprint: u64, repeatable: bool, now: Millis) -> Begin {
         if let Some(entry) = self.entries.get(key) {
             return entry.begin(fingerprint);
         }
-        if !repeatable && self.buried.len() >= self.limits.tombstones {
+        if !repeatable && self.tombstone_queue.len() >= self.limits.tombstones {
             return Begin::Full;
         }
-        let entry = Entry { fingerprint, repeatable, phase: Phase::Running, at: now };
+        let entry = Entry { fingerprint, repeatable, phase: Phase::Running, updated_at: now };
         self.entries.insert(key.clone(), entry);
         Begin::Run
     }
 
-    /// Whether a key runs, has an answer or may have run here.
+    /// Whether a request with this key is running, has an answer or may have run here.
     pub fn knows(&self, key: &Key) -> bool {
-        self.entries.get(key).is_some_and(|it| !matches!(it.phase, Phase::Released { .. }))
+        self.entries.get(key).is_some_and(|entry| !matches!(entry.phase, Phase::Released { .. }))
     }
 
     /// Records how a run ended.
     pub fn finish(&mut self, key: &Key, end: End, now: Millis) {
-        let Some(entry) = self.entries.get_mut(key).filter(|it| it.phase == Phase::Running) else {
+        let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.phase == Phase::Running)
+        else {
             return;
         };
-        entry.at = now;
+        entry.updated_at = now;
         match end {
             End::Done(answer) => {
                 self.bytes += answer.bytes();
-                entry.phase = Phase::Recorded(answer);
-                self.recorded.push_back((now, key.clone()));
+                entry.phase = Phase::Answered(answer);
+                self.answered_queue.push_back((now, key.clone()));
                 self.trim(now);
             }
-            End::Unknown if !entry.repeatable => self.bury(key, now),
+            End::Unknown if !entry.repeatable => self.make_tombstone(key, now),
             End::Unknown | End::NotRun => {
                 self.entries.remove(key);
             }
         }
     }
 
-    /// Gives a key up to another node; true when nothing is known under it.
+    /// Releases a key to another node. Returns false if the key is known here, and keeps it.
     pub fn release(&mut self, key: &Key, to: Incarnation, now: Millis) -> bool {
         if self.knows(key) {
             return false;
         }
         self.releases += 1;
         let phase = Phase::Released { to, order: self.releases };
-        let entry = Entry { fingerprint: 0, repeatable: true, phase, at: now };
+        let entry = Entry { fingerprint: 0, repeatable: true, phase, updated_at: now };
         if self.entries.insert(key.clone(), entry).is_none() {
-            self.buried.push_back((now, key.clone()));
+            self.tombstone_queue.push_back((now, key.clone()));
         }
         true
     }
 
-    /// Releases made so far.
+    /// Number of releases so far.
     pub fn releases(&self) -> u64 {
         self.releases
     }
 
-    /// Takes a key back that was given up to a node which has given it up in turn.
+    /// Takes back a key that was released to a node which has released it in turn, as told by
+    /// `given_up`.
     ///
-    /// Only releases up to `until` count: one made later, while this node was asking, may
-    /// have answered the very node that now seems to have given the key up.
+    /// Applies only to releases numbered up to `until`. A later release, made while this node was
+    /// still asking, may have gone to the very node that appears to have released the key.
     pub fn reclaim(&mut self, key: &Key, until: u64, given_up: impl Fn(Incarnation) -> bool) {
-        let back = |it: &Entry| match it.phase {
+        let released_back = |entry: &Entry| match entry.phase {
             Phase::Released { to, order } => order <= until && given_up(to),
             _ => false,
         };
-        if self.entries.get(key).is_some_and(back) {
+        if self.entries.get(key).is_some_and(released_back) {
             self.entries.remove(key);
         }
     }
 
-    /// Takes in an answer handed over by a node that stops.
+    /// Adds a record handed over by a stopping node, unless the key is known.
     pub fn adopt(&mut self, key: &Key, fingerprint: u64, answer: Option<Arc<Answer>>, now: Millis) {
-        if self.entries.get(key).is_some_and(|it| !matches!(it.phase, Phase::Released { .. })) {
+        if self.entries.get(key).is_some_and(|entry| !matches!(entry.phase, Phase::Released { .. }))
+        {
             return;
         }
-        let entry = Entry { fingerprint, repeatable: false, phase: Phase::Running, at: now };
+        let entry =
+            Entry { fingerprint, repeatable: false, phase: Phase::Running, updated_at: now };
         self.entries.insert(key.clone(), entry);
         self.finish(key, answer.map_or(End::Unknown, End::Done), now);
     }
 
-    /// What a stopping node hands over: each key with its fingerprint and answer.
+    /// Records that a stopping node hands over: each key with its fingerprint and answer, if any.
     pub fn handover(&self) -> Vec<(Key, u64, Option<Arc<Answer>>)> {
-        let kept = |(key, entry): (&Key, &Entry)| match &entry.phase {
-            Phase::Recorded(answer) => Some((key.clone(), entry.fingerprint, Some(answer.clone()))),
-            Phase::Lost => Some((key.clone(), entry.fingerprint, None)),
+        let record = |(key, entry): (&Key, &Entry)| match &entry.phase {
+            Phase::Answered(answer) => Some((key.clone(), entry.fingerprint, Some(answer.clone()))),
+            Phase::Tombstone => Some((key.clone(), entry.fingerprint, None)),
             Phase::Running | Phase::Released { .. } => None,
         };
-        self.entries.iter().filter_map(kept).collect()
+        self.entries.iter().filter_map(record).collect()
     }
 
-    /// Drops what is over its age or bounds.
+    /// Evicts answers and tombstones that exceed their age or bounds.
     pub fn trim(&mut self, now: Millis) {
-        while let Some((at, key)) = self.recorded.front().cloned() {
-            let over = self.recorded.len() > self.limits.answers || self.bytes > self.limits.bytes;
-            if !over && now.since(at) < self.limits.answer_millis {
+        while let Some((at, key)) = self.answered_queue.front().cloned() {
+            let over_limit =
+                self.answered_queue.len() > self.limits.answers || self.bytes > self.limits.bytes;
+            if !over_limit && now.since(at) < self.limits.answer_millis {
                 break;
             }
-            self.recorded.pop_front();
-            self.bury(&key, now);
+            self.answered_queue.pop_front();
+            self.make_tombstone(&key, now);
         }
-        while let Some((at, key)) = self.buried.front().cloned() {
+        while let Some((at, key)) = self.tombstone_queue.front().cloned() {
             if now.since(at) < self.limits.window_millis {
                 break;
             }
-            self.buried.pop_front();
-            self.forget(&key);
+            self.tombstone_queue.pop_front();
+            self.remove_expired(&key);
         }
     }
 
-    /// Entries held.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -222,26 +227,27 @@
         self.bytes
     }
 
-    fn bury(&mut self, key: &Key, now: Millis) {
-        let full = self.buried.len() >= self.limits.tombstones;
+    fn make_tombstone(&mut self, key: &Key, now: Millis) {
+        let full = self.tombstone_queue.len() >= self.limits.tombstones;
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        if let Phase::Recorded(answer) = &entry.phase {
+        if let Phase::Answered(answer) = &entry.phase {
             self.bytes -= answer.bytes();
         }
         if full && entry.repeatable {
             self.entries.remove(key);
             return;
         }
-        entry.phase = Phase::Lost;
-        entry.at = now;
-        self.buried.push_back((now, key.clone()));
+        entry.phase = Phase::Tombstone;
+        entry.updated_at = now;
+        self.tombstone_queue.push_back((now, key.clone()));
     }
 
-    fn forget(&mut self, key: &Key) {
-        let gone = |it: &Entry| matches!(it.phase, Phase::Lost | Phase::Released { .. });
-        if self.entries.get(key).is_some_and(gone) {
+    fn remove_expired(&mut self, key: &Key) {
+        let expired =
+            |entry: &Entry| matches!(entry.phase, Phase::Tombstone | Phase::Released { .. });
+        if self.entries.get(key).is_some_and(expired) {
             self.entries.remove(key);
         }
     }
@@ -253,8 +259,8 @@
             Phase::Released { to, .. } => Begin::Moved(*to),
             _ if self.fingerprint != fingerprint => Begin::Mismatch,
             Phase::Running => Begin::Join,
-            Phase::Recorded(answer) => Begin::Replay(answer.clone()),
-            Phase::Lost => Begin::Unknown,
+            Phase::Answered(answer) => Begin::Replay(answer.clone()),
+            Phase::Tombstone => Begin::Unknown,
         }
     }
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,4 +1,4 @@
-//! All that one node decides, behind one door.
+//! Facade over all decisions of one node.
 
 use crate::claims::{Claims, Doubt};
 use crate::detector::{Belief, Detector};
@@ -19,97 +19,97 @@
 use crosslane_state::time::Millis;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Age up to which a load report counts, in milliseconds.
-const KNOWN_MILLIS: u64 = 5_000;
+/// Age up to which a load report is used.
+const LOAD_REPORT_TTL_MS: u64 = 5_000;
 
-/// Time for which a failed runner is left alone, in milliseconds.
-const SHUN_MILLIS: u64 = 1_000;
+/// Time for which a failed runner gets no requests.
+const FAILURE_COOLDOWN_MS: u64 = 1_000;
 
-/// What a node starts with.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This node.
+    /// Incarnation of this node.
     pub me: Incarnation,
     /// Its failure domain.
     pub domain: String,
     /// Runners it may use.
     pub table: Table,
-    /// How runners are chosen.
+    /// Placement algorithm for runners.
     pub mode: Mode,
-    /// Retries as a percentage of fresh requests.
+    /// Retries allowed, as a percentage of first attempts.
     pub retry_percent: u32,
     /// Silence after which a node is suspected, in milliseconds.
     pub suspect_millis: u64,
-    /// Nodes that heartbeats go to.
+    /// Number of nodes to send heartbeats to.
     pub neighbours: usize,
     /// Whether slots are granted ahead of predicted releases.
     pub ahead: bool,
-    /// Bounds of the ledger.
+    /// Bounds of the idempotency records.
     pub ledger: ledger::Limits,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// Whether one is the same node as another, or a later start on its VM.
-fn supersedes(one: &Member, other: &Member) -> bool {
-    one.vm == other.vm && one.incarnation >= other.incarnation
+/// Whether `candidate` is the same node as `other` or a later incarnation on its VM.
+fn supersedes(candidate: &Member, other: &Member) -> bool {
+    candidate.vm == other.vm && candidate.incarnation >= other.incarnation
 }
 
-/// Which runners will do for a request.
+/// Requirements on the runner of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    /// What they do.
+    /// Role of the runner.
     pub role: Role,
-    /// Model or path prefix.
+    /// Model or path prefix that it serves.
     pub serves: &'a str,
-    /// Failure domains; empty for all.
+    /// Allowed failure domains; empty for all.
     pub domains: &'a [String],
-    /// Runners that have been tried.
+    /// Runners that were already tried.
     pub avoid: &'a [Id],
-    /// How long the request will hold a slot, in milliseconds.
+    /// Expected time that the request holds a slot, in milliseconds.
     pub work: u64,
 }
 
-/// Where a keyed request is to be handled.
+/// Node that handles a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// Here, after these nodes have given the key up.
+    /// This node, after these nodes have released the key.
     Here {
         /// Nodes that may know the key.
         ask: Vec<Incarnation>,
     },
-    /// At another node.
+    /// Another node.
     There(Incarnation),
-    /// Every member has given it up.
+    /// None: every member has released the key.
     Nowhere,
 }
 
-/// A node's decisions and what they rest on.
+/// Decisions of one node, with the state that they depend on.
 #[derive(Debug)]
 pub struct Node {
     options: Options,
-    /// The folded log.
+    /// State folded from the log.
     pub state: fold::State,
     /// Load of runners.
     pub board: Board,
-    /// Endings of keyed requests.
+    /// Idempotency records of keyed requests.
     pub ledger: Ledger,
-    /// Retries left.
+    /// Retry budget.
     pub budget: Budget,
-    /// Which nodes live.
+    /// Failure detector.
     pub detector: Detector,
     chooser: Chooser,
     allocators: HashMap<Id, Allocator>,
-    told: BTreeMap<String, Leave>,
-    joined: HashMap<Incarnation, Millis>,
-    guests: BTreeMap<Incarnation, Member>,
-    /// Claims, and what departed nodes may have claimed.
+    gossiped_leaves: BTreeMap<String, Leave>,
+    first_seen: HashMap<Incarnation, Millis>,
+    provisional: BTreeMap<Incarnation, Member>,
+    /// Claims on keys, with the departed nodes whose claims may be missing.
     pub claims: Claims,
-    versions: HashMap<Incarnation, Version>,
+    policy_versions: HashMap<Incarnation, Version>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// A node with empty state.
     pub fn new(options: Options) -> Self {
         Self {
             state: fold::State::default(),
@@ -119,207 +119,211 @@
             detector: Detector::new(options.suspect_millis),
             chooser: Chooser::new(options.mode, options.seed),
             allocators: HashMap::new(),
-            told: BTreeMap::new(),
-            joined: HashMap::new(),
-            guests: BTreeMap::new(),
+            gossiped_leaves: BTreeMap::new(),
+            first_seen: HashMap::new(),
+            provisional: BTreeMap::new(),
             claims: Claims::new(options.ledger.window_millis),
-            versions: HashMap::new(),
+            policy_versions: HashMap::new(),
             options,
         }
     }
 
-    /// What it was started with.
+    /// Configuration of the node.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// Brings what follows from the folded log up to date.
+    /// Updates everything derived from the folded log.
     pub fn refresh(&mut self, now: Millis) {
-        let members: Vec<_> = self.state.roster.iter().map(|it| it.incarnation).collect();
-        let gone = |it: &Incarnation| self.state.roster.get(*it).is_none();
-        let left: Vec<_> = self.joined.keys().copied().filter(gone).collect();
-        for incarnation in left {
-            self.joined.remove(&incarnation);
-            self.versions.remove(&incarnation);
+        let members: Vec<_> = self.state.roster.iter().map(|member| member.incarnation).collect();
+        let gone = |incarnation: &Incarnation| self.state.roster.get(*incarnation).is_none();
+        let departed: Vec<_> = self.first_seen.keys().copied().filter(gone).collect();
+        for incarnation in departed {
+            self.first_seen.remove(&incarnation);
+            self.policy_versions.remove(&incarnation);
             self.detector.forget(incarnation);
-            let settled = self.state.released.contains(&incarnation);
-            self.claims.departed(incarnation, settled, now);
+            let handed_over = self.state.released.contains(&incarnation);
+            self.claims.departed(incarnation, handed_over, now);
         }
         for member in members {
-            self.joined.entry(member).or_insert(now);
+            self.first_seen.entry(member).or_insert(now);
         }
-        let near: Vec<_> = self.neighbours().iter().map(|it| it.incarnation).collect();
-        near.into_iter().for_each(|it| self.detector.watch(it, now));
+        let neighbours: Vec<_> =
+            self.neighbours().iter().map(|member| member.incarnation).collect();
+        neighbours.into_iter().for_each(|neighbour| self.detector.watch(neighbour, now));
         let state = &self.state;
-        self.told.retain(|_, it| !state.ended.contains(&it.id) && state.stands(it));
+        self.gossiped_leaves
+            .retain(|_, leave| !state.ended.contains(&leave.id) && state.stands(leave));
         let roster = &self.state.roster;
-        self.guests.retain(|_, guest| !roster.iter().any(|it| supersedes(it, guest)));
-        let mine: BTreeSet<_> = self.owned().map(|it| it.id).collect();
-        self.allocators.retain(|id, _| mine.contains(id));
+        self.provisional
+            .retain(|_, newcomer| !roster.iter().any(|member| supersedes(member, newcomer)));
+        let owned: BTreeSet<_> = self.owned().map(|runner| runner.id).collect();
+        self.allocators.retain(|id, _| owned.contains(id));
     }
 
-    /// Takes in a node that the log does not have yet, or can't have while it is out.
-    pub fn welcome(&mut self, guest: Member, now: Millis) {
-        let known = |it: &Member| supersedes(it, &guest);
-        if self.state.roster.iter().any(known) || self.guests.values().any(known) {
+    /// Adds a node whose join is not in the log, for instance during an outage of the log.
+    pub fn welcome(&mut self, newcomer: Member, now: Millis) {
+        let known = |member: &Member| supersedes(member, &newcomer);
+        if self.state.roster.iter().any(known) || self.provisional.values().any(known) {
             return;
         }
-        self.guests.retain(|_, it| it.vm != guest.vm);
-        self.detector.watch(guest.incarnation, now);
-        self.guests.insert(guest.incarnation, guest);
+        self.provisional.retain(|_, other| other.vm != newcomer.vm);
+        self.detector.watch(newcomer.incarnation, now);
+        self.provisional.insert(newcomer.incarnation, newcomer);
     }
 
-    /// Nodes that the log does not have.
+    /// Nodes whose joins are not in the log.
     pub fn guests(&self) -> Vec<Member> {
-        self.guests.values().cloned().collect()
+        self.provisional.values().cloned().collect()
     }
 
-    /// Takes the word of others that a node is dead.
+    /// Records that other nodes confirmed the death of a node.
     pub fn bury(&mut self, node: Incarnation, now: Millis) {
         self.detector.confirm(node, now);
-        if self.guests.remove(&node).is_some() {
+        if self.provisional.remove(&node).is_some() {
             self.detector.forget(node);
         }
     }
 
-    /// A member or guest.
+    /// A node, whether its join is in the log or not.
     pub fn member(&self, incarnation: Incarnation) -> Option<&Member> {
-        self.state.roster.get(incarnation).or_else(|| self.guests.get(&incarnation))
+        self.state.roster.get(incarnation).or_else(|| self.provisional.get(&incarnation))
     }
 
-    /// Takes an announcement that came past the log; true when it was new.
+    /// Adds a leave announcement received outside the log. Returns whether it was new.
     pub fn tell(&mut self, leave: Leave) -> bool {
         let leave = self.state.stamped(leave);
         if self.state.ended.contains(&leave.id) || self.is_leaving(&leave.vm) {
             return false;
         }
-        self.told.insert(leave.vm.clone(), leave);
+        self.gossiped_leaves.insert(leave.vm.clone(), leave);
         true
     }
 
-    /// Whether a VM has a runner or a member of its own.
+    /// Whether a runner or a member runs on a VM.
     pub fn has_vm(&self, vm: &str) -> bool {
-        self.options.table.iter().any(|it| it.vm == vm)
-            || self.state.roster.iter().any(|it| it.vm == vm)
+        self.options.table.iter().any(|runner| runner.vm == vm)
+            || self.state.roster.iter().any(|member| member.vm == vm)
     }
 
-    /// Announcements to pass on.
+    /// Leave announcements to gossip.
     pub fn told(&self) -> impl Iterator<Item = &Leave> {
-        self.told.values().chain(self.state.leaving.values())
+        self.gossiped_leaves.values().chain(self.state.leaving.values())
     }
 
-    /// Announcements that the log does not have yet.
+    /// Leave announcements that are not in the log yet.
     pub fn untold(&self) -> Vec<Leave> {
-        let known = |it: &&Leave| !self.state.leaving.contains_key(&it.vm);
-        self.told.values().filter(known).cloned().collect()
+        let known = |leave: &&Leave| !self.state.leaving.contains_key(&leave.vm);
+        self.gossiped_leaves.values().filter(known).cloned().collect()
     }
 
     /// Whether a VM is announced as leaving.
     pub fn is_leaving(&self, vm: &str) -> bool {
-        let announced = self.told.get(vm).or_else(|| self.state.leaving.get(vm));
-        announced.is_some_and(|it| self.state.stands(it))
+        let announced = self.gossiped_leaves.get(vm).or_else(|| self.state.leaving.get(vm));
+        announced.is_some_and(|leave| self.state.stands(leave))
     }
 
     /// Whether a member's VM is announced as leaving.
     pub fn member_leaving(&self, incarnation: Incarnation) -> bool {
-        self.state.roster.get(incarnation).is_some_and(|it| self.is_leaving(&it.vm))
+        self.state.roster.get(incarnation).is_some_and(|member| self.is_leaving(&member.vm))
     }
 
-    /// How long ago a member was first seen, in milliseconds.
+    /// Time since a member was first seen, in milliseconds.
     pub fn member_age(&self, member: Incarnation, now: Millis) -> u64 {
-        self.joined.get(&member).map_or(0, |joined| now.since(*joined))
+        self.first_seen.get(&member).map_or(0, |seen| now.since(*seen))
     }
 
-    /// Whether this node is to record the departure of a member whose VM is gone; it is
-    /// watched from now on.
-    pub fn departure_due(&mut self, gone: Incarnation, now: Millis) -> bool {
-        if gone != self.options.me {
-            self.detector.watch(gone, now);
+    /// Whether this node is the one to record the departure of a member whose VM is gone. The failure
+    /// detector watches that member from now on.
+    pub fn departure_due(&mut self, departed: Incarnation, now: Millis) -> bool {
+        if departed != self.options.me {
+            self.detector.watch(departed, now);
         }
-        let alive = |it| it != gone && self.belief(it, now) == Belief::Alive;
-        self.belief(gone, now) != Belief::Alive
-            && self.state.roster.owner(gone.0, alive) == Some(self.options.me)
+        let alive = |member| member != departed && self.belief(member, now) == Belief::Alive;
+        self.belief(departed, now) != Belief::Alive
+            && self.state.roster.owner(departed.0, alive) == Some(self.options.me)
     }
 
-    /// Nodes that heartbeats go to.
+    /// Nodes to send heartbeats to.
     pub fn neighbours(&self) -> Vec<&Member> {
-        let me = self.options.me;
-        let mut neighbours = self.state.roster.neighbours(me, self.options.neighbours);
-        neighbours.extend(self.guests.values().filter(|it| it.incarnation != me));
+        let this_node = self.options.me;
+        let mut neighbours = self.state.roster.neighbours(this_node, self.options.neighbours);
+        neighbours
+            .extend(self.provisional.values().filter(|newcomer| newcomer.incarnation != this_node));
         neighbours
     }
 
     /// The node that grants a runner's slots.
     pub fn owner(&self, runner: Id) -> Option<Incarnation> {
-        self.state.roster.owner(runner.0, |it| !self.member_leaving(it))
+        self.state.roster.owner(runner.0, |member| !self.member_leaving(member))
     }
 
     /// Engines whose slots this node grants.
     pub fn owned(&self) -> impl Iterator<Item = &Runner> {
-        let me = self.options.me;
-        self.options
-            .table
-            .iter()
-            .filter(move |it| it.role != Role::Service && self.owner(it.id) == Some(me))
+        let this_node = self.options.me;
+        self.options.table.iter().filter(move |runner| {
+            runner.role != Role::Service && self.owner(runner.id) == Some(this_node)
+        })
     }
 
-    /// Engines whose owner is dead, and which this node is to look after until the log has the
-    /// departure: it is the first in their ranking that is believed alive.
+    /// Engines with a dead owner that this node cleans up until the departure is in the log: those in
+    /// whose ranking it is the first node that is alive and not leaving.
     pub fn taken_over(&self, now: Millis) -> Vec<Runner> {
-        let alive = |it| self.belief(it, now) == Belief::Alive;
-        let all_alive = self.state.roster.iter().all(|it| alive(it.incarnation));
+        let alive = |member| self.belief(member, now) == Belief::Alive;
+        let all_alive = self.state.roster.iter().all(|member| alive(member.incarnation));
         if all_alive {
             return Vec::new();
         }
         let roster = &self.state.roster;
-        let eligible = |it: Incarnation| alive(it) && !self.member_leaving(it);
-        let mine = |it: &&Runner| {
-            let owner = self.owner(it.id);
-            it.role != Role::Service
+        let eligible = |member: Incarnation| alive(member) && !self.member_leaving(member);
+        let assigned_here = |runner: &&Runner| {
+            let owner = self.owner(runner.id);
+            runner.role != Role::Service
                 && owner.is_some_and(|owner| self.belief(owner, now) == Belief::Dead)
-                && roster.owner(it.id.0, eligible) == Some(self.options.me)
+                && roster.owner(runner.id.0, eligible) == Some(self.options.me)
         };
-        self.options.table.iter().filter(mine).cloned().collect()
+        self.options.table.iter().filter(assigned_here).cloned().collect()
     }
 
-    /// What to cancel at an engine whose owner is dead: just what dead nodes left there. Slots are
-    /// granted again only by an owner.
+    /// Attempts to cancel at an engine whose owner is dead: only those made by dead nodes. Slots are
+    /// granted again only once the engine has an owner.
     pub fn orphans(&self, held: &[attempt::Id], now: Millis) -> Vec<attempt::Id> {
-        let held: Vec<_> = held.iter().map(|it| (*it, false)).collect();
+        let held: Vec<_> = held.iter().map(|attempt| (*attempt, false)).collect();
         reconcile::plan(&held, |origin| self.belief(origin, now)).cancel
     }
 
-    /// Chooses a runner of a pool.
+    /// Chooses a runner. Prefers those with a recent load report, then those that have not failed
+    /// recently.
     pub fn place(&mut self, wanted: Wanted<'_>, now: Millis) -> Option<Id> {
         let Wanted { role, serves, domains, avoid, work } = wanted;
-        let (told, state) = (&self.told, &self.state);
+        let (gossiped, state) = (&self.gossiped_leaves, &self.state);
         let table = &self.options.table;
         let board = &self.board;
         let query = Query { pool: table.pool(role, serves), table, board, work, now };
         let allowed = |runner: &Runner| {
-            !told.contains_key(&runner.vm)
+            !gossiped.contains_key(&runner.vm)
                 && !state.leaving.contains_key(&runner.vm)
                 && !avoid.contains(&runner.id)
                 && (domains.is_empty() || domains.contains(&runner.domain))
         };
-        let known = |runner: &Runner| {
-            role == Role::Service || now.since(board.get(runner.id).at) < KNOWN_MILLIS
+        let is_fresh = |runner: &Runner| {
+            role == Role::Service || now.since(board.get(runner.id).at) < LOAD_REPORT_TTL_MS
         };
         let chosen = self
             .chooser
-            .choose(query, |runner| allowed(runner) && known(runner))
+            .choose(query, |runner| allowed(runner) && is_fresh(runner))
             .or_else(|| self.chooser.choose(query, allowed))
             .or_else(|| self.chooser.choose(Query { now: Millis(u64::MAX), ..query }, allowed))?;
         self.board.sent(chosen);
         Some(chosen)
     }
 
-    /// Keeps requests away from a runner that failed.
+    /// Excludes a failed runner from placement for a short time.
     pub fn failed(&mut self, runner: Id, now: Millis) {
-        self.board.shun(runner, now + SHUN_MILLIS);
+        self.board.shun(runner, now + FAILURE_COOLDOWN_MS);
     }
 
-    /// Asks for a slot of an owned runner; `None` means that the answer comes later.
+    /// Requests a slot of an owned runner; `None` means that the request is queued.
     pub fn ask(&mut self, runner: Id, ask: Ask, now: Millis) -> Option<Grant> {
         match self.allocator(runner) {
             Some(allocator) => allocator.ask(ask, now),
@@ -327,72 +331,76 @@
         }
     }
 
-    /// The grant of an attempt that holds a slot.
+    /// The grant of an attempt, if it holds a slot.
     pub fn granted(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Grant> {
         self.allocators.get(&runner)?.granted(attempt, now)
     }
 
-    /// Frees a slot and returns the attempts granted in turn.
+    /// Frees a slot and returns the attempts that were granted one in turn.
     pub fn release(&mut self, runner: Id, attempt: attempt::Id, now: Millis) -> Vec<attempt::Id> {
-        self.allocators.get_mut(&runner).map_or_else(Vec::new, |it| it.release(attempt, now))
+        self.allocators
+            .get_mut(&runner)
+            .map_or_else(Vec::new, |allocator| allocator.release(attempt, now))
     }
 
-    /// Gives up on waiters whose time is over: each with when to come back.
+    /// Removes waiting requests that are past their deadline or whose runner is down or leaving;
+    /// returns each attempt with its retry delay in milliseconds.
     pub fn expire(&mut self, now: Millis) -> Vec<(attempt::Id, u64)> {
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         let leaving = |id: &Id| {
             self.options.table.find(*id).is_some_and(|runner| self.is_leaving(&runner.vm))
         };
-        let closed: Vec<_> = self.allocators.keys().copied().filter(leaving).collect();
-        for id in closed {
-            self.allocators.entry(id).and_modify(|it| it.answers(false));
+        let unavailable: Vec<_> = self.allocators.keys().copied().filter(leaving).collect();
+        for id in unavailable {
+            self.allocators.entry(id).and_modify(|allocator| allocator.answers(false));
         }
         for allocator in self.allocators.values_mut() {
             let retry_after = allocator.retry_after(now);
-            over.extend(allocator.expire(now).into_iter().map(|it| (it, retry_after)));
+            expired.extend(allocator.expire(now).into_iter().map(|attempt| (attempt, retry_after)));
         }
-        over
+        expired
     }
 
-    /// Grants what time alone has made grantable.
+    /// Grants slots that became available by the passing of time, as predicted releases do.
     pub fn serve(&mut self, now: Millis) -> Vec<attempt::Id> {
-        self.allocators.values_mut().flat_map(|it| it.serve(now)).collect()
+        self.allocators.values_mut().flat_map(|allocator| allocator.serve(now)).collect()
     }
 
     /// Load of the owned runners.
     pub fn reports(&self, now: Millis) -> Vec<(Id, Report)> {
-        self.allocators.iter().map(|(id, it)| (*id, it.report(now))).collect()
+        self.allocators.iter().map(|(id, allocator)| (*id, allocator.report(now))).collect()
     }
 
-    /// What to do about the list of an engine that this node owns.
+    /// Compares the attempts listed by an owned engine with the slots granted, and returns what to
+    /// do about them.
     pub fn reconcile(&mut self, runner: Id, held: &[attempt::Id], now: Millis) -> Option<Plan> {
         let vm = self.options.table.find(runner)?.vm.clone();
         let leaving = self.is_leaving(&vm);
         let allocator = self.allocator(runner)?;
         allocator.answers(!leaving);
         allocator.adopt(held, now);
-        let all = allocator.verify(now);
-        Some(reconcile::plan(&all, |origin| self.belief(origin, now)))
+        let holders = allocator.verify(now);
+        Some(reconcile::plan(&holders, |origin| self.belief(origin, now)))
     }
 
-    /// Notes that an owned engine does not answer.
+    /// Records that an owned engine does not respond.
     pub fn silent(&mut self, runner: Id) {
         if let Some(allocator) = self.allocator(runner) {
             allocator.answers(false);
         }
     }
 
-    /// Takes the word of another that a silent node lives; one that is not a neighbour is
-    /// watched no longer, as it sends no heartbeats here.
+    /// Records that another node reports a silent node as alive. A node that is not a neighbour is no
+    /// longer watched, as it sends no heartbeats here.
     pub fn vouched(&mut self, node: Incarnation, now: Millis) {
-        if self.neighbours().iter().any(|it| it.incarnation == node) {
+        if self.neighbours().iter().any(|member| member.incarnation == node) {
             self.detector.heard(node, now);
         } else {
             self.detector.forget(node);
         }
     }
 
-    /// What is believed of a node; one that is not watched counts as alive.
+    /// Liveness of a node as seen here; a member that is not watched counts as alive.
     pub fn belief(&self, node: Incarnation, now: Millis) -> Belief {
         if node == self.options.me {
             return Belief::Alive;
@@ -406,33 +414,38 @@
         self.detector.belief(node, now)
     }
 
-    /// Where a keyed request is to be handled; nodes in `passed` have given the key up.
+    /// Node that handles a keyed request. Nodes in `passed` have released the key.
     ///
-    /// When every member is leaving, the first still owns the key, so that two never do.
+    /// If all members are leaving, the first one still owns the key, so that a key never has two
+    /// owners.
     pub fn route(&self, key: &Key, passed: &[Incarnation], now: Millis) -> Route {
-        let me = self.options.me;
+        let this_node = self.options.me;
         let ranked = self.state.roster.ranked(key.hash());
-        let eligible = |it: &&Incarnation| !self.member_leaving(**it) && !passed.contains(it);
-        let fallback = || ranked.iter().find(|it| !passed.contains(it));
+        let eligible =
+            |member: &&Incarnation| !self.member_leaving(**member) && !passed.contains(member);
+        let fallback = || ranked.iter().find(|member| !passed.contains(member));
         match ranked.iter().find(eligible).or_else(fallback) {
-            Some(owner) if *owner == me => Route::Here { ask: self.predecessors(&ranked, now) },
+            Some(owner) if *owner == this_node => {
+                Route::Here { ask: self.previous_owners(&ranked, now) }
+            }
             Some(owner) => Route::There(*owner),
             None => Route::Nowhere,
         }
     }
 
     /// Members that may have owned a key before this node did.
-    fn predecessors(&self, ranked: &[Incarnation], now: Millis) -> Vec<Incarnation> {
-        let me = self.options.me;
+    fn previous_owners(&self, ranked: &[Incarnation], now: Millis) -> Vec<Incarnation> {
+        let this_node = self.options.me;
         let window = self.options.ledger.window_millis;
-        let recent =
-            |it: &Incarnation| self.joined.get(it).is_none_or(|joined| now.since(*joined) < window);
-        let place = ranked.iter().position(|it| *it == me).unwrap_or(ranked.len());
-        let mut ask = ranked[..place].to_vec();
-        if recent(&me) {
-            for member in ranked.iter().skip(place + 1) {
+        let joined_recently = |member: &Incarnation| {
+            self.first_seen.get(member).is_none_or(|seen| now.since(*seen) < window)
+        };
+        let rank = ranked.iter().position(|member| *member == this_node).unwrap_or(ranked.len());
+        let mut ask = ranked[..rank].to_vec();
+        if joined_recently(&this_node) {
+            for member in ranked.iter().skip(rank + 1) {
                 ask.push(*member);
-                if !recent(member) {
+                if !joined_recently(member) {
                     break;
                 }
             }
@@ -440,41 +453,46 @@
         ask
     }
 
-    /// What else than the ledger says that a key may have been run by another node.
+    /// Why a request may have been run by another node although the ledger has no record of its key.
     pub fn doubt(&self, key: &Key) -> Option<Doubt> {
         self.claims.doubt(key.hash(), self.options.me)
     }
 
-    /// The member that owns a key next, should this node depart.
+    /// The member that owns a key once this node has departed.
     pub fn successor(&self, key: &Key) -> Option<&Member> {
-        let me = self.options.me;
-        let next =
-            self.state.roster.owner(key.hash(), |it| it != me && !self.member_leaving(it))?;
+        let this_node = self.options.me;
+        let next = self
+            .state
+            .roster
+            .owner(key.hash(), |member| member != this_node && !self.member_leaving(member))?;
         self.state.roster.get(next)
     }
 
-    /// Takes note of the version in force at a node.
+    /// Records the policy version in force at a node.
     pub fn saw_version(&mut self, node: Incarnation, version: Version) {
-        self.versions.insert(node, version);
+        self.policy_versions.insert(node, version);
     }
 
-    /// A version that this node is to confirm for its failure domain, if any.
+    /// Policy version that this node is to confirm for its failure domain, if any.
     ///
-    /// The member with the lowest incarnation confirms once all members of the domain have
-    /// the version in force.
+    /// The member with the lowest incarnation confirms once the version is in force at all members
+    /// of the domain.
     pub fn confirmation(&self) -> Option<Version> {
         let newest = self.state.history.back()?;
         let domain = &self.options.domain;
         if newest.accepted || newest.confirmed.contains(domain) {
             return None;
         }
-        let mut members = self.state.roster.iter().filter(|it| it.domain == *domain);
-        let all = members.clone().all(|it| {
-            it.incarnation == self.options.me
-                || self.versions.get(&it.incarnation).is_some_and(|v| *v >= newest.version)
+        let mut members = self.state.roster.iter().filter(|member| member.domain == *domain);
+        let all_updated = members.clone().all(|member| {
+            member.incarnation == self.options.me
+                || self
+                    .policy_versions
+                    .get(&member.incarnation)
+                    .is_some_and(|version| *version >= newest.version)
         });
-        let first = members.next()?.incarnation == self.options.me;
-        (first && all).then_some(newest.version)
+        let is_first = members.next()?.incarnation == self.options.me;
+        (is_first && all_updated).then_some(newest.version)
     }
 
     fn allocator(&mut self, runner: Id) -> Option<&mut Allocator> {
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,7 +1,8 @@
-//! Placement: which runner of a pool gets a request.
+//! Placement of requests on the runners of a pool.
 //!
-//! Two candidates are drawn and the one with less expected work is taken, so the cost of a
-//! decision does not grow with the pool. The other modes are baselines to measure against.
+//! The default is power of two choices: two candidates are drawn at random, and the one with the
+//! shorter expected wait is chosen, so the cost of a decision does not grow with the pool. The other
+//! modes are baselines for comparison.
 
 use crosslane_state::load::{Board, Entry};
 use crosslane_state::runner::{Id, Key, Runner, Table};
@@ -9,53 +10,53 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Draws for an eligible candidate before the pool is scanned from a random place.
-const DRAWS: usize = 8;
+/// Random draws for an eligible candidate before the pool is scanned from a random index.
+const MAX_DRAWS: usize = 8;
 
-/// How a candidate is chosen.
+/// Placement algorithm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Best of two by corrected load.
+    /// The better of two random candidates by corrected load.
     #[default]
     BestOfTwo,
     /// Each in turn.
     RoundRobin,
-    /// Any.
+    /// A random one.
     Random,
-    /// Least load by uncorrected report, over the whole pool.
+    /// The least loaded of the whole pool by uncorrected reports.
     LeastReported,
 }
 
-/// What is asked of the pool.
+/// A placement request.
 #[derive(Clone, Copy)]
 pub struct Query<'a> {
     /// Candidates.
     pub pool: &'a [Key],
     /// Their descriptions.
     pub table: &'a Table,
-    /// Their load.
+    /// Their loads.
     pub board: &'a Board,
-    /// How long the request will hold a slot, in milliseconds.
+    /// Expected time that the request holds a slot, in milliseconds.
     pub work: u64,
     /// Time of the decision.
     pub now: Millis,
 }
 
-/// Chooses runners, with randomness from a seed.
+/// Chooses runners with a seeded random generator.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     mode: Mode,
     random: SmallRng,
-    turn: usize,
+    next_index: usize,
 }
 
 impl Chooser {
-    /// A chooser whose choices repeat for the same seed.
+    /// A chooser that makes the same choices for the same seed.
     pub fn new(mode: Mode, seed: u64) -> Self {
-        Self { mode, random: SmallRng::seed_from_u64(seed), turn: 0 }
+        Self { mode, random: SmallRng::seed_from_u64(seed), next_index: 0 }
     }
 
-    /// A runner of the pool that passes a check, if there is one.
+    /// A runner of the pool that is eligible and not shunned, if there is one.
     pub fn choose(&mut self, query: Query<'_>, eligible: impl Fn(&Runner) -> bool) -> Option<Id> {
         let usable = |runner: &Runner| {
             eligible(runner) && query.board.get(runner.id).shunned_until <= query.now
@@ -64,20 +65,20 @@
             Mode::BestOfTwo => {
                 let first = self.draw(query, &usable)?;
                 let second = self.draw(query, &usable)?;
-                Some(lighter(query, first, second))
+                Some(less_loaded(query, first, second))
             }
-            Mode::Random => self.draw(query, &usable).map(|it| it.id),
+            Mode::Random => self.draw(query, &usable).map(|runner| runner.id),
             Mode::RoundRobin => {
-                self.turn = self.turn.wrapping_add(1);
-                scan(query, self.turn, &usable).map(|it| it.id)
+                self.next_index = self.next_index.wrapping_add(1);
+                scan(query, self.next_index, &usable).map(|runner| runner.id)
             }
             Mode::LeastReported => query
                 .pool
                 .iter()
                 .filter_map(|key| query.table.get(*key))
                 .filter(|runner| usable(runner))
-                .min_by_key(|runner| reported(query.board.get(runner.id)))
-                .map(|it| it.id),
+                .min_by_key(|runner| reported_load(query.board.get(runner.id)))
+                .map(|runner| runner.id),
         }
     }
 
@@ -89,9 +90,9 @@
         if query.pool.is_empty() {
             return None;
         }
-        for _ in 0..DRAWS {
+        for _ in 0..MAX_DRAWS {
             let key = query.pool[self.random.random_range(0..query.pool.len())];
-            if let Some(runner) = query.table.get(key).filter(|it| usable(it)) {
+            if let Some(runner) = query.table.get(key).filter(|runner| usable(runner)) {
                 return Some(runner);
             }
         }
@@ -110,21 +111,22 @@
         .find(|runner| usable(runner))
 }
 
-/// The runner with less expected wait: what its owner told, and what was sent there since.
-fn lighter(query: Query<'_>, first: &Runner, second: &Runner) -> Id {
+/// The runner with the shorter expected wait: the wait reported by its owner plus that for the
+/// requests sent there since.
+fn less_loaded(query: Query<'_>, first: &Runner, second: &Runner) -> Id {
     let cost = |runner: &Runner| {
         let entry = query.board.get(runner.id);
         let slots = runner.slots.max(1);
-        let sent = u64::from(entry.sent) * query.work / u64::from(slots);
-        let wait = u64::from(entry.report.wait_millis) + sent;
-        (wait, entry.depth() * COST_SCALE / slots)
+        let queued_ms = u64::from(entry.sent) * query.work / u64::from(slots);
+        let wait_ms = u64::from(entry.report.wait_millis) + queued_ms;
+        (wait_ms, entry.depth() * LOAD_SCALE / slots)
     };
     if cost(second) < cost(first) { second.id } else { first.id }
 }
 
-/// Fixed-point scale for load per slot.
-const COST_SCALE: u32 = 1000;
+/// Fixed-point scale of the load per slot.
+const LOAD_SCALE: u32 = 1000;
 
-fn reported(entry: Entry) -> u32 {
+fn reported_load(entry: Entry) -> u32 {
     entry.report.busy + entry.report.waiting
 }
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -1,9 +1,10 @@
-//! The endpoints this node may use, what they carry, and how well they have answered.
+//! The endpoints this node may use, with their load and health.
 //!
-//! Load is what this node has at an endpoint plus what other nodes last told they have there.
-//! Health is judged by the outcomes of real requests, here and at other nodes, and fades back.
+//! The load of an endpoint is this node's own usage plus the usage that other nodes last reported.
+//! Health is passive: it follows from the outcomes of real requests, here and at other nodes, and
+//! old outcomes decay.
 
-use crate::choice::{self, ALL_LOOKED_AT, Query};
+use crate::choice::{self, MAX_FULL_SCAN, Query};
 use crate::entry::{Entry, Load};
 use crate::health::{Health, Outcome};
 use crate::usage::{Told, Usage};
@@ -13,37 +14,38 @@
 use slotmap::SlotMap;
 use std::collections::{HashMap, HashSet};
 
-/// Time that an order to change its stage keeps an engine from new work, in milliseconds: its runs
-/// end first, some 3 s, and the change takes 6 s. Meanwhile it grants reservations, looks empty,
-/// and refuses what comes.
-const CHANGING: u64 = 12_000;
+/// Time for which an engine gets no new work after an order to change its stage. The engine first
+/// finishes its running requests (about 3 s), then changes stage (6 s). Meanwhile it still grants
+/// reservations and looks empty, but refuses requests.
+const STAGE_CHANGE_MS: u64 = 12_000;
 
-/// Time that an endpoint is kept after its record lapsed with the store, in milliseconds. Live ones
-/// are back within about 2 s of the store's return; one that really left must get no work 2 s
-/// after its record went, and a request may be on its way for some hundred milliseconds.
-const LAPSE_GRACE: u64 = 1_200;
+/// Time for which an endpoint is kept after its record was lost during a store outage. Live
+/// endpoints register again within about 2 s of the store's return. An endpoint that really left
+/// must get no work from 2 s after its record disappeared, and a request may be in flight for a
+/// few hundred milliseconds.
+const LAPSE_GRACE_MS: u64 = 1_200;
 
-/// An order to an engine to take a stage.
+/// An order to an engine to change its stage.
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct StageOrder {
     stage: Stage,
-    /// Until when it counts.
+    /// Time at which the order expires.
     until: Millis,
-    /// Whether this node gave it.
-    own: bool,
+    /// Whether this node issued the order.
+    issued_here: bool,
 }
 
-/// All endpoints by key and by tag.
+/// All known endpoints, indexed by key and by tag.
 #[derive(Debug)]
 pub struct Pool {
     domain: String,
     entries: SlotMap<Key, Entry>,
     tags: HashMap<Tag, Key>,
-    told: Told,
-    /// Engines whose usage changed since it was last told.
-    updated: HashSet<Key>,
-    /// Stages that engines were ordered to take.
-    changing: HashMap<Tag, Ordered>,
+    peer_usage: Told,
+    /// Engines whose local usage changed since the last delta was taken.
+    changed_usage: HashSet<Key>,
+    /// Open stage-change orders by engine.
+    stage_orders: HashMap<Tag, StageOrder>,
     random: SmallRng,
 }
 
@@ -54,45 +56,46 @@
             domain,
             entries: SlotMap::with_key(),
             tags: HashMap::new(),
-            told: Told::default(),
-            updated: HashSet::new(),
-            changing: HashMap::new(),
+            peer_usage: Told::default(),
+            changed_usage: HashSet::new(),
+            stage_orders: HashMap::new(),
             random,
         }
     }
 
-    /// Takes the list of endpoints as it is now. Those missing from it are kept a while if
-    /// `lenient`: their records may have lapsed with the store away, and may come back. One whose id
-    /// has another birth is gone with all that it held.
+    /// Replaces the list of endpoints. With `lenient`, endpoints missing from the new list are kept
+    /// for `LAPSE_GRACE_MS`, as their records may have expired during a store outage and may
+    /// return. An endpoint whose id is listed with another birth time was restarted: its former
+    /// entry is removed at once, with its usage and health.
     pub fn replace(&mut self, endpoints: Vec<Endpoint>, lenient: bool, now: Millis) {
         let listed: HashSet<Tag> = endpoints.iter().map(Endpoint::tag).collect();
-        let ids: HashSet<&str> = endpoints.iter().map(|it| it.id.as_str()).collect();
+        let ids: HashSet<&str> = endpoints.iter().map(|endpoint| endpoint.id.as_str()).collect();
         let missing: Vec<Tag> =
-            self.tags.keys().filter(|it| !listed.contains(it)).copied().collect();
+            self.tags.keys().filter(|tag| !listed.contains(tag)).copied().collect();
         for tag in missing {
             let entry = self.tags.get(&tag).and_then(|key| self.entries.get_mut(*key));
             match entry {
                 Some(entry) if ids.contains(entry.endpoint.id.as_str()) => self.remove(tag),
-                Some(entry) if lenient || entry.lapsed.is_some() => {
-                    entry.lapsed.get_or_insert(now);
+                Some(entry) if lenient || entry.lapsed_at.is_some() => {
+                    entry.lapsed_at.get_or_insert(now);
                 }
                 _ => self.remove(tag),
             }
         }
         for endpoint in endpoints {
-            self.put(endpoint);
+            self.insert(endpoint);
         }
     }
 
-    /// Drops endpoints whose records lapsed and did not come back, orders that are over, and what silent
-    /// nodes told.
+    /// Removes lapsed endpoints that did not return, expired stage orders, and the usage of nodes
+    /// that stopped reporting.
     pub fn expire(&mut self, now: Millis) {
-        self.changing.retain(|_, it| it.until > now);
-        let changed = self.told.expire(now);
-        self.resum(changed);
-        let gone = |it: &Entry| it.lapsed.is_some_and(|at| now.since(at) > LAPSE_GRACE);
-        let entries = self.entries.values().filter(|it| gone(it));
-        let tags: Vec<Tag> = entries.map(|it| it.tag).collect();
+        self.stage_orders.retain(|_, order| order.until > now);
+        let changed = self.peer_usage.expire(now);
+        self.refresh_remote(changed);
+        let gone = |entry: &Entry| entry.lapsed_at.is_some_and(|at| now.since(at) > LAPSE_GRACE_MS);
+        let entries = self.entries.values().filter(|entry| gone(entry));
+        let tags: Vec<Tag> = entries.map(|entry| entry.tag).collect();
         tags.into_iter().for_each(|tag| self.remove(tag));
     }
 
@@ -102,31 +105,31 @@
         }
     }
 
-    fn put(&mut self, endpoint: Endpoint) {
+    fn insert(&mut self, endpoint: Endpoint) {
         let tag = endpoint.tag();
         if let Some(entry) = self.tags.get(&tag).and_then(|key| self.entries.get_mut(*key)) {
             entry.endpoint = endpoint;
-            entry.lapsed = None;
+            entry.lapsed_at = None;
             return;
         }
-        let elsewhere = self.told.sum(tag);
+        let remote = self.peer_usage.sum(tag);
         let key = self.entries.insert(Entry {
             tag,
             endpoint,
-            here: Usage::default(),
-            elsewhere,
+            local: Usage::default(),
+            remote,
             health: Health::default(),
-            load: None,
-            lapsed: None,
-            held: Millis::default(),
-            eased: None,
+            reported_load: None,
+            lapsed_at: None,
+            throttled_until: Millis::default(),
+            limit_lifted_at: None,
         });
         self.tags.insert(tag, key);
     }
 
     /// The endpoint at a key.
     pub fn get(&self, key: Key) -> Option<&Endpoint> {
-        self.entries.get(key).map(|it| &it.endpoint)
+        self.entries.get(key).map(|entry| &entry.endpoint)
     }
 
     /// The key of an endpoint.
@@ -134,17 +137,17 @@
         self.tags.get(&tag).copied()
     }
 
-    /// Whether an endpoint may still be given work.
+    /// Whether an endpoint is known and not draining.
     pub fn usable(&self, key: Key) -> bool {
-        self.entries.get(key).is_some_and(|it| !it.endpoint.draining)
+        self.entries.get(key).is_some_and(|entry| !entry.endpoint.draining)
     }
 
-    /// Engines that are not leaving, by service.
+    /// Engines that are neither draining nor lapsed, by service.
     pub fn engines(&self) -> HashMap<&str, Vec<(Key, &Endpoint)>> {
         let mut services: HashMap<&str, Vec<(Key, &Endpoint)>> = HashMap::new();
         for (key, entry) in &self.entries {
             let endpoint = &entry.endpoint;
-            if endpoint.stage == Stage::Plain || endpoint.draining || entry.lapsed.is_some() {
+            if endpoint.stage == Stage::Plain || endpoint.draining || entry.lapsed_at.is_some() {
                 continue;
             }
             services.entry(&endpoint.service).or_default().push((key, endpoint));
@@ -152,28 +155,30 @@
         services
     }
 
-    /// Engines of a service that may keep what a caller of this failure domain brings back: all, or
-    /// among many those of the domain, which are chosen first.
+    /// Engines of a service that may hold the cached prefix of a caller in this failure domain: all
+    /// of them, or in a large pool only those of the domain, as these are preferred for placement.
     pub fn keepers(&self, service: &str) -> Vec<(Key, Endpoint)> {
         let engines = self.engines().remove(service).unwrap_or_default();
-        let many = engines.len() > ALL_LOOKED_AT;
-        let near = engines.into_iter().filter(|(_, it)| !many || it.domain == self.domain);
-        near.map(|(key, it)| (key, it.clone())).collect()
+        let many = engines.len() > MAX_FULL_SCAN;
+        let near =
+            engines.into_iter().filter(|(_, endpoint)| !many || endpoint.domain == self.domain);
+        near.map(|(key, endpoint)| (key, endpoint.clone())).collect()
     }
 
-    /// Prefilling engines of a service among which this node chooses first: all, or among many those of its
-    /// failure domain.
+    /// Number of prefill engines of a service that this node prefers for placement: all of them, or
+    /// in a large pool only those of its failure domain.
     pub fn prefilling(&self, service: &str) -> usize {
-        let engines = self.entries.values().map(|it| &it.endpoint);
-        let usable = engines
-            .filter(|it| it.stage == Stage::Prefill && it.service == service && !it.draining);
-        let (all, near) = usable.fold((0, 0), |(all, near), it| {
-            (all + 1, near + usize::from(it.domain == self.domain))
+        let engines = self.entries.values().map(|entry| &entry.endpoint);
+        let usable = engines.filter(|endpoint| {
+            endpoint.stage == Stage::Prefill && endpoint.service == service && !endpoint.draining
         });
-        if all > ALL_LOOKED_AT { near } else { all }
+        let (all, near) = usable.fold((0, 0), |(all, near), endpoint| {
+            (all + 1, near + usize::from(endpoint.domain == self.domain))
+        });
+        if all > MAX_FULL_SCAN { near } else { all }
     }
 
-    /// Endpoints known.
+    /// Number of known endpoints.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -183,156 +188,162 @@
         self.entries.is_empty()
     }
 
-    /// The best endpoint for a query, and its load as a share of a full endpoint: one or more
-    /// means that it is believed to be full. Failures count in the choice, but not as load.
+    /// The best endpoint for a query, with its utilization; 1.0 or more means that the endpoint is
+    /// estimated to be full. Failures affect the choice but not the utilization.
     pub fn choose(&mut self, query: Query<'_>, now: Millis) -> Option<(Key, f64)> {
-        let changing = |it: &Entry| {
-            let order = self.changing.get(&it.tag);
-            order.is_some_and(|order| order.until > now && order.stage != it.endpoint.stage)
+        let changing = |entry: &Entry| {
+            let order = self.stage_orders.get(&entry.tag);
+            order.is_some_and(|order| order.until > now && order.stage != entry.endpoint.stage)
         };
-        let admitted = |(key, it): &(Key, &Entry)| query.admits(*key, it, now) && !changing(it);
+        let admitted =
+            |(key, entry): &(Key, &Entry)| query.admits(*key, entry, now) && !changing(entry);
         let entries = self.entries.iter().filter(admitted).collect();
         choice::best(query, entries, &self.domain, &mut self.random, now)
     }
 
-    /// Share of the KV cache of a service's decoding engines that is believed to be taken.
+    /// Estimated share of the KV cache in use over all decode engines of a service.
     pub fn occupancy(&self, service: &str, capacity: u64) -> f64 {
-        let decoding = self.entries.values().filter(|it| {
-            it.endpoint.stage == Stage::Decode
-                && it.endpoint.service == service
-                && !it.endpoint.draining
+        let decoding = self.entries.values().filter(|entry| {
+            entry.endpoint.stage == Stage::Decode
+                && entry.endpoint.service == service
+                && !entry.endpoint.draining
         });
-        let (taken, count) = decoding.fold((0.0, 0.0), |(taken, count), it| {
-            (taken + f64::from(it.here.tokens + it.elsewhere.tokens), count + 1.0)
+        let (taken, count) = decoding.fold((0.0, 0.0), |(taken, count), entry| {
+            (taken + f64::from(entry.local.tokens + entry.remote.tokens), count + 1.0)
         });
         if count == 0.0 { 1.0 } else { taken / (count * capacity.max(1) as f64) }
     }
 
-    /// Counts a request and its tokens at an endpoint.
+    /// Adds a request and its tokens to the local usage of an endpoint.
     pub fn enter(&mut self, key: Key, tokens: u32) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.here.requests += 1;
-            entry.here.tokens += tokens;
-            self.note_update(key);
+            entry.local.requests += 1;
+            entry.local.tokens += tokens;
+            self.mark_changed(key);
         }
     }
 
-    /// Counts a request and its tokens as gone.
+    /// Removes a request and its tokens from the local usage of an endpoint.
     pub fn leave(&mut self, key: Key, tokens: u32) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.here.requests = entry.here.requests.saturating_sub(1);
-            entry.here.tokens = entry.here.tokens.saturating_sub(tokens);
-            self.note_update(key);
+            entry.local.requests = entry.local.requests.saturating_sub(1);
+            entry.local.tokens = entry.local.tokens.saturating_sub(tokens);
+            self.mark_changed(key);
         }
     }
 
-    fn note_update(&mut self, key: Key) {
-        let engine = self.entries.get(key).is_some_and(|it| it.endpoint.stage != Stage::Plain);
+    fn mark_changed(&mut self, key: Key) {
+        let engine =
+            self.entries.get(key).is_some_and(|entry| entry.endpoint.stage != Stage::Plain);
         if engine {
-            self.updated.insert(key);
+            self.changed_usage.insert(key);
         }
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a request for the endpoint's health.
     pub fn note(&mut self, key: Key, outcome: Outcome, now: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.health.note(outcome, now);
         }
     }
 
-    /// Notes a load report.
+    /// Records a load report of an endpoint.
     pub fn load(&mut self, key: Key, load: Load, now: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.load = Some((load, now));
+            entry.reported_load = Some((load, now));
         }
     }
 
-    /// Keeps requests from an endpoint for a while: its limit has no room.
+    /// Sends an endpoint no requests until a time, as its rate limit is exhausted.
     pub fn hold_back(&mut self, key: Key, until: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.held = until;
+            entry.throttled_until = until;
         }
     }
 
-    /// Lets requests go to an endpoint again whose limit changed, or ended.
+    /// Ends the throttling of an endpoint whose rate limit changed. If the limit was lifted
+    /// altogether (`ended`), a slow start begins.
     pub fn let_in(&mut self, tag: Tag, ended: bool, now: Millis) {
         if let Some(entry) = self.tags.get(&tag).and_then(|key| self.entries.get_mut(*key)) {
-            entry.held = now;
-            entry.eased = ended.then_some(now);
+            entry.throttled_until = now;
+            entry.limit_lifted_at = ended.then_some(now);
         }
     }
 
-    /// Time until the first endpoint of a service and stage takes requests again, in milliseconds, if the limits of all
-    /// have no room now.
+    /// Time in milliseconds until the first endpoint of a service and stage is no longer throttled,
+    /// or `None` if at least one is not throttled now.
     pub fn held_for(&self, service: &str, stage: Stage, now: Millis) -> Option<u64> {
-        let usable = self.entries.values().filter(|it| {
-            let endpoint = &it.endpoint;
+        let usable = self.entries.values().filter(|entry| {
+            let endpoint = &entry.endpoint;
             endpoint.service == service && endpoint.stage == stage && !endpoint.draining
         });
-        let first = usable.map(|it| it.held).min()?;
-        (first > now).then(|| first.since(now))
+        let earliest = usable.map(|entry| entry.throttled_until).min()?;
+        (earliest > now).then(|| earliest.since(now))
     }
 
-    /// What this node has at endpoints, to be told to others.
+    /// Local usage of all endpoints that other nodes need to know, for a full report.
     pub fn usage(&self, now: Millis) -> Vec<(Tag, Usage)> {
-        let told = self.entries.values().filter(|it| it.worth_telling(now));
-        told.map(|it| it.row(now)).collect()
+        let shared = self.entries.values().filter(|entry| entry.worth_sharing(now));
+        shared.map(|entry| entry.usage_row(now)).collect()
     }
 
-    /// Notes that this node ordered an engine to take a stage.
+    /// Records that this node ordered an engine to change its stage.
     pub fn ordered(&mut self, key: Key, stage: Stage, now: Millis) {
         if let Some(entry) = self.entries.get(key) {
-            let order = Ordered { stage, until: now + CHANGING, own: true };
-            self.changing.insert(entry.tag, order);
+            let order = StageOrder { stage, until: now + STAGE_CHANGE_MS, issued_here: true };
+            self.stage_orders.insert(entry.tag, order);
         }
     }
 
-    /// Orders of this node that are not carried out yet.
+    /// Stage orders issued by this node that are not carried out yet.
     pub fn changing(&self, now: Millis) -> Vec<(Tag, Stage)> {
-        let has = |tag: &Tag| {
+        let stage_of = |tag: &Tag| {
             let entry = self.tags.get(tag).and_then(|key| self.entries.get(*key));
-            entry.map(|it| it.endpoint.stage)
+            entry.map(|found| found.endpoint.stage)
         };
-        // What was only heard is not passed on, or it would never end.
-        let own = self.changing.iter().filter(|(_, it)| it.own && it.until > now);
-        let open = own.filter(|(tag, it)| has(tag).is_some_and(|stage| stage != it.stage));
-        open.map(|(tag, it)| (*tag, it.stage)).collect()
+        // Orders received from peers are not forwarded: nodes would renew each other's copies, and
+        // an order would never expire.
+        let issued =
+            self.stage_orders.iter().filter(|(_, order)| order.issued_here && order.until > now);
+        let open =
+            issued.filter(|(tag, order)| stage_of(tag).is_some_and(|stage| stage != order.stage));
+        open.map(|(tag, order)| (*tag, order.stage)).collect()
     }
 
-    /// Takes another node's word of orders, which counts until a time.
+    /// Merges stage orders reported by another node; they expire at `until`.
     pub fn hear_changing(&mut self, orders: &[(Tag, Stage)], until: Millis) {
         for (tag, stage) in orders {
-            let heard = Ordered { stage: *stage, until, own: false };
-            let known = self.changing.entry(*tag).or_insert(heard);
+            let order = StageOrder { stage: *stage, until, issued_here: false };
+            let known = self.stage_orders.entry(*tag).or_insert(order);
             if known.until < until {
-                *known = heard;
+                *known = order;
             }
         }
     }
 
-    /// What this node has at engines where that changed since it was last asked for.
+    /// Takes the local usage of the engines where it changed since the last call, for a delta report.
     pub fn updates(&mut self, now: Millis) -> Vec<(Tag, Usage)> {
-        let updated = std::mem::take(&mut self.updated);
-        updated.into_iter().filter_map(|key| Some(self.entries.get(key)?.row(now))).collect()
+        let changed = std::mem::take(&mut self.changed_usage);
+        changed.into_iter().filter_map(|key| Some(self.entries.get(key)?.usage_row(now))).collect()
     }
 
-    /// Takes what another node now has at some engines. One that was not heard yet is heard first.
+    /// Applies a usage delta of another node. It is ignored until that node's first full report.
     pub fn update(&mut self, peer: Tag, usage: &[(Tag, Usage)]) {
-        if self.told.update(peer, usage) {
-            self.resum(usage.iter().map(|it| it.0));
+        if self.peer_usage.update(peer, usage) {
+            self.refresh_remote(usage.iter().map(|row| row.0));
         }
     }
 
-    /// Takes all that another node has at endpoints, which counts until a time.
+    /// Replaces the usage of another node with a full report that expires at `until`.
     pub fn hear(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) {
-        let changed = self.told.hear(peer, usage, until);
-        self.resum(changed);
+        let changed = self.peer_usage.hear(peer, usage, until);
+        self.refresh_remote(changed);
     }
 
-    fn resum(&mut self, changed: impl IntoIterator<Item = Tag>) {
+    fn refresh_remote(&mut self, changed: impl IntoIterator<Item = Tag>) {
         for tag in changed {
             if let Some(entry) = self.tags.get(&tag).and_then(|key| self.entries.get_mut(*key)) {
-                entry.elsewhere = self.told.sum(tag);
+                entry.remote = self.peer_usage.sum(tag);
             }
         }
     }
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -1,84 +1,84 @@
-//! Policy programs: short Rhai scripts, compiled once, without loops and bounded in steps.
+//! Policy programs: short Rhai scripts that are compiled once, have no loops and are bounded in steps.
 
 use crosslane_state::request::{Class, Verdict};
 use derive_more::{Display, Error};
 use rhai::{AST, Dynamic, Engine, Map, Scope};
 
-/// Program in force before any is published.
+/// Program in force until one is published.
 pub const DEFAULT: &str = r#"#{
     class: if path.starts_with("/v1/") { "patient" } else { "quick" },
     repeatable: method == "GET" || path.starts_with("/v1/"),
 }"#;
 
-/// Longest program, in bytes.
+/// Longest program.
 const MAX_PROGRAM_BYTES: usize = 65_536;
 
-/// Steps that an evaluation may take.
+/// Most steps of an evaluation.
 const MAX_OPERATIONS: u64 = 10_000;
 
-/// Longest string that a program may make, in bytes.
+/// Longest string that a program may create.
 const MAX_STRING_BYTES: usize = 4_096;
 
-/// Most entries of an array or map in a program.
-const MAX_ENTRIES: usize = 64;
+/// Most entries of an array or map.
+const MAX_COLLECTION_ENTRIES: usize = 64;
 
 /// Deepest nesting of expressions.
-const MAX_DEPTH: usize = 32;
+const MAX_EXPRESSION_DEPTH: usize = 32;
 
-/// Words that would let a program run long.
-const FORBIDDEN: [&str; 7] = ["while", "loop", "do", "for", "fn", "eval", "import"];
+/// Keywords disabled because they allow long-running programs.
+const DISABLED_SYMBOLS: [&str; 7] = ["while", "loop", "do", "for", "fn", "eval", "import"];
 
-/// Why a program can't be used.
+/// Why a program is rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// It doesn't parse.
+    /// It does not parse.
     #[display("line {line}, column {column}: {message}")]
     Syntax {
-        /// Line, from one.
+        /// Line, starting at 1.
         line: usize,
-        /// Column, from one.
+        /// Column, starting at 1.
         column: usize,
-        /// What is wrong.
+        /// Message of the parser.
         message: String,
     },
     /// It is too long.
-    #[display("a policy has at most {MAX_PROGRAM_BYTES} bytes, this one {bytes}")]
+    #[display("program is {bytes} bytes long, the maximum is {MAX_PROGRAM_BYTES}")]
     Long {
-        /// Its length, in bytes.
+        /// Length of the program.
         bytes: usize,
     },
-    /// It failed on a request.
+    /// Its evaluation failed.
     #[display("{message}")]
     Run {
-        /// What is wrong, with its place.
+        /// Message of the interpreter, with its position.
         message: String,
     },
-    /// Its result is not what is expected.
+    /// Its result has the wrong type or value.
     #[display("{field}: expected {expected}, found {found}")]
     Result {
         /// Field of the result.
         field: &'static str,
-        /// What it should be.
+        /// Expected value.
         expected: &'static str,
-        /// What it is.
+        /// Actual value.
         found: String,
     },
 }
 
-/// What a program is told of a request.
+/// Properties of a request that a program sees.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Input {
     /// Organisation of the caller.
     pub organisation: String,
-    /// Model asked for; empty for a service.
+    /// Requested model; empty for a plain service.
     pub model: String,
     /// HTTP method.
     pub method: String,
-    /// Path.
+    /// Request path.
     pub path: String,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: i64,
-    /// Most tokens to generate.
+    /// Most tokens to generate for the request.
     pub max_tokens: i64,
 }
 
@@ -99,11 +99,11 @@
         engine
             .set_max_operations(MAX_OPERATIONS)
             .set_max_string_size(MAX_STRING_BYTES)
-            .set_max_array_size(MAX_ENTRIES)
-            .set_max_map_size(MAX_ENTRIES)
-            .set_max_expr_depths(MAX_DEPTH, MAX_DEPTH);
-        for word in FORBIDDEN {
-            engine.disable_symbol(word);
+            .set_max_array_size(MAX_COLLECTION_ENTRIES)
+            .set_max_map_size(MAX_COLLECTION_ENTRIES)
+            .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH);
+        for symbol in DISABLED_SYMBOLS {
+            engine.disable_symbol(symbol);
         }
         engine.on_print(|_| {});
         let ast = engine.compile(text).map_err(|error| Error::Syntax {
@@ -114,7 +114,7 @@
         Ok(Self { engine, ast })
     }
 
-    /// Compiles a program and tries it on samples.
+    /// Compiles a program and evaluates it on samples.
     pub fn check(text: &str, samples: &[Input]) -> Result<Self, Error> {
         let program = Self::compile(text)?;
         for sample in samples {
@@ -123,7 +123,7 @@
         Ok(program)
     }
 
-    /// Judges a request.
+    /// Evaluates the program for a request.
     pub fn judge(&self, input: &Input) -> Result<Verdict, Error> {
         let mut scope = Scope::new();
         scope.push_constant("organisation", input.organisation.clone());
@@ -145,7 +145,7 @@
     let Some(map) = result.try_cast::<Map>() else {
         return Err(Error::Result {
             field: "result",
-            expected: "a map with class, repeatable and domains",
+            expected: "a map with the fields class, repeatable and domains",
             found: found.to_owned(),
         });
     };
@@ -168,7 +168,7 @@
 }
 
 fn repeatable(value: Option<&Dynamic>) -> Result<bool, Error> {
-    value.and_then(|it| it.as_bool().ok()).ok_or_else(|| Error::Result {
+    value.and_then(|dynamic| dynamic.as_bool().ok()).ok_or_else(|| Error::Result {
         field: "repeatable",
         expected: "true or false",
         found: value.map(ToString::to_string).unwrap_or_default(),
@@ -185,5 +185,5 @@
         found: value.to_string(),
     };
     let array = value.clone().into_array().map_err(|_| mismatch())?;
-    array.into_iter().map(|it| it.into_string().map_err(|_| mismatch())).collect()
+    array.into_iter().map(|element| element.into_string().map_err(|_| mismatch())).collect()
 }
--- a/crates/coordination/src/reconcile.rs
+++ b/crates/coordination/src/reconcile.rs
@@ -1,25 +1,26 @@
-//! Reconciliation of what an engine holds with what nodes still want.
+//! Reconciliation of the attempts that an engine holds with those that nodes still need.
 //!
-//! The engine's own list is the truth that survives every node, so a new owner of a runner
-//! needs no state of the old one to clean up after anybody.
+//! The engine's own list is the source of truth, as it survives any node. A new owner of a runner
+//! therefore needs no state of the former owner to clean up.
 
 use crate::detector::Belief;
 use crosslane_state::attempt::Id;
 use crosslane_state::incarnation::Incarnation;
 use std::collections::BTreeMap;
 
-/// What to do about an engine's list.
+/// Actions that follow from an engine's list of attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Nobody wants these: cancel them.
+    /// Attempts to cancel, as their nodes are dead.
     pub cancel: Vec<Id>,
-    /// Ask these nodes which of their attempts they still want.
+    /// Attempts to confirm, by the node to ask whether it still needs them.
     pub ask: BTreeMap<Incarnation, Vec<Id>>,
 }
 
-/// Sorts held attempts by what is believed of the nodes that made them.
+/// Plans the actions for held attempts by the liveness of the nodes that made them.
 ///
-/// Live nodes are asked only about attempts that are due.
+/// Live nodes are asked only about attempts that are due for confirmation; attempts of suspected
+/// nodes are left alone.
 pub fn plan(held: &[(Id, bool)], belief: impl Fn(Incarnation) -> Belief) -> Plan {
     let mut plan = Plan::default();
     for (attempt, due) in held {
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,35 +1,35 @@
-//! Records of the control stream in the platform's log.
+//! Records of the control stream, which is stored in the platform's log.
 
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
 use crosslane_state::policy::Version;
 use serde::{Deserialize, Serialize};
 
-/// An announcement that a VM is leaving.
+/// Announcement that a VM is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Leave {
-    /// Identity of the announcement.
+    /// Id of the announcement.
     pub id: String,
-    /// VM that leaves.
+    /// Leaving VM.
     pub vm: String,
-    /// Node that it holds for; `None` for an endpoint VM.
+    /// Node on the VM; `None` for an endpoint VM.
     pub node: Option<Incarnation>,
 }
 
-/// One record.
+/// A record of the control stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Record {
-    /// A node joins; replaces an earlier one on its VM.
+    /// A node joins; it replaces an earlier node on the same VM.
     Join {
         /// The node.
         member: Member,
     },
-    /// A node has ended.
+    /// A node has departed.
     Depart {
         /// The node.
         incarnation: Incarnation,
-        /// Whether it handed everything over; else its VM is gone.
+        /// Whether the node handed over all its state. If not, its VM is gone.
         released: bool,
     },
     /// A VM is leaving.
@@ -37,37 +37,37 @@
         /// The announcement.
         leave: Leave,
     },
-    /// An endpoint VM is back and usable.
+    /// An endpoint VM is usable again.
     Back {
-        /// VM.
+        /// The VM.
         vm: String,
     },
-    /// A policy, to follow a base version.
+    /// Publishes a policy; it is applied only if `base` is still the newest version.
     Publish {
-        /// Identity given by its publisher.
+        /// Id chosen by the publisher.
         id: String,
-        /// Version it was written against.
+        /// Version that the policy was written against.
         base: Version,
-        /// Program text.
+        /// Source of the program.
         program: String,
-        /// Who published it.
+        /// Name of the publisher.
         author: String,
     },
-    /// Takes back a policy that is not accepted yet.
+    /// Withdraws a policy that is not accepted yet.
     Withdraw {
-        /// The publication.
+        /// Id of the publication.
         publication: String,
     },
     /// A version is in force at every node of a failure domain.
     Confirm {
-        /// Version.
+        /// The version.
         version: Version,
-        /// Failure domain.
+        /// The failure domain.
         domain: String,
     },
-    /// The whole fold so far, before the log forgets its parts.
+    /// Snapshot of the folded state, written before the log truncates older records.
     Checkpoint {
-        /// Fold at this offset.
+        /// State at this offset.
         state: Box<crate::fold::State>,
     },
 }
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -1,9 +1,9 @@
-//! Slots of one runner, granted by the one node that owns the runner.
+//! Slots of one runner, granted by the single node that owns the runner.
 //!
-//! Requests that find no slot wait here, before any prefill is spent on them: quick before
-//! patient, organisations with fewer slots first, then by deadline. A patient request that
-//! has waited long counts as quick, so none is starved. One that can't start in time is
-//! refused at once.
+//! Requests that find no free slot queue here, before any prefill work is done for them. The order
+//! is: class quick before patient, then organisations that hold fewer slots, then the earlier
+//! deadline. A patient request that has waited long counts as quick, so that none starves. A request
+//! that can't start in time is refused at once.
 
 use crosslane_state::attempt::Id;
 use crosslane_state::load::Report;
@@ -12,70 +12,72 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Weight of a new sample in the mean ratio of actual to expected holding, as one over this.
-const SMOOTHING: u64 = 16;
+/// A new sample enters the moving average of actual to expected hold time with a weight of one over
+/// this.
+const RATIO_SMOOTHING: u64 = 16;
 
-/// Fixed-point one of that ratio.
+/// The value 1.0 of that ratio in fixed point.
 const RATIO_ONE: u64 = 1_024;
 
-/// Bounds of one sample of that ratio.
+/// Bounds that a sample of that ratio is clamped to.
 const RATIO_BOUNDS: (u64, u64) = (RATIO_ONE / 8, RATIO_ONE * 8);
 
-/// Wait after which a patient request counts as quick, in milliseconds.
-const AGED_MILLIS: u64 = 5_000;
+/// Wait after which a patient request counts as quick.
+const AGING_MS: u64 = 5_000;
 
-/// Shortest advice on when to come back, in milliseconds.
-const RETRY_FLOOR_MILLIS: u64 = 100;
+/// Shortest retry delay that a refusal names.
+const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Time after which a holder's maker is asked whether it still wants the slot, in milliseconds.
-const VERIFY_MILLIS: u64 = 3_000;
+/// Interval at which the node that made an attempt is asked whether it still needs the slot.
+const VERIFY_INTERVAL_MS: u64 = 3_000;
 
-/// Time for which a released attempt is not adopted again, in milliseconds.
-const RELEASED_MILLIS: u64 = 3_000;
+/// Time for which a released attempt is not adopted again.
+const RELEASED_MEMORY_MS: u64 = 3_000;
 
-/// Advice on when to come back to a runner that is down, in milliseconds.
-const DOWN_MILLIS: u64 = 1_000;
+/// Retry delay named by refusals for a runner that is down.
+const DOWN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Waiting requests per slot.
-const QUEUE_PER_SLOT: usize = 64;
+/// Longest queue, in waiting requests per slot.
+const MAX_WAITERS_PER_SLOT: usize = 64;
 
 /// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Who will hold it.
+    /// Attempt that will hold the slot.
     pub attempt: Id,
-    /// Urgency.
+    /// Priority class.
     pub class: Class,
-    /// On whose behalf.
+    /// Organisation of the caller.
     pub organisation: Organisation,
     /// KV cache needed, in tokens.
     pub kv_tokens: u64,
-    /// How long it may wait before its work must begin, in milliseconds.
+    /// Longest wait before the work must begin, in milliseconds.
     pub patience: u64,
-    /// How long before use it is needed, in milliseconds: a prefill runs in between.
+    /// Time between the grant and the first use of the slot, in milliseconds: the prefill runs in
+    /// this time.
     pub lead: u64,
-    /// How long it will be held, as far as the asker can tell, in milliseconds.
+    /// Expected time that the slot is held, in milliseconds.
     pub hold: u64,
-    /// How long the runner's link will carry the KV cache, in milliseconds.
+    /// Time that the KV-cache transfer occupies the runner's link, in milliseconds; zero for none.
     pub transfer: u64,
 }
 
-/// Answer to an ask.
+/// Answer to a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// The slot is held, and the link from the end of a prefill on.
+    /// The slot is reserved, and the runner's link from the end of the prefill on.
     Granted {
-        /// Milliseconds until the prefill is to start, so that it ends when the link is free.
+        /// Delay before the prefill starts, in milliseconds, so that it ends when the link is free.
         start_in: u64,
-        /// Expected wait of the next ask, in milliseconds.
+        /// Expected wait of the next request, in milliseconds.
         wait: u32,
     },
-    /// No slot in time; coming back after this many milliseconds helps.
+    /// No slot is free in time.
     Refused {
-        /// Milliseconds.
+        /// Delay after which a retry may succeed, in milliseconds.
         retry_after: u64,
     },
-    /// This node does not own the runner.
+    /// The node does not own the runner.
     NotOwner,
 }
 
@@ -85,7 +87,7 @@
     kv_tokens: u64,
     hold: u64,
     since: Millis,
-    checked: Millis,
+    verified_at: Millis,
     adopted: bool,
     start_in: u64,
 }
@@ -94,7 +96,7 @@
 struct Waiter {
     ask: Ask,
     since: Millis,
-    order: u64,
+    sequence: u64,
 }
 
 impl Waiter {
@@ -103,18 +105,19 @@
     }
 
     fn class(&self, now: Millis) -> Class {
-        if now.since(self.since) >= AGED_MILLIS { Class::Quick } else { self.ask.class }
+        if now.since(self.since) >= AGING_MS { Class::Quick } else { self.ask.class }
     }
 }
 
-/// Limits of a runner.
+/// Capacity of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests held at once.
+    /// Requests processed at once.
     pub slots: u32,
-    /// KV cache, in tokens; zero for no bound.
+    /// KV cache in tokens; zero for unlimited.
     pub kv_tokens: u64,
-    /// Whether a slot is granted ahead of a predicted release, by at most the ask's lead.
+    /// Whether slots are granted ahead of predicted releases, by at most half of the request's lead
+    /// time.
     pub ahead: bool,
 }
 
@@ -123,117 +126,122 @@
 pub struct Allocator {
     limits: Limits,
     holders: HashMap<Id, Holder>,
-    kv_held: u64,
-    held_by: BTreeMap<Organisation, u32>,
+    kv_tokens_held: u64,
+    slots_by_organisation: BTreeMap<Organisation, u32>,
     waiters: Vec<Waiter>,
-    ratio: u64,
-    order: u64,
+    hold_ratio: u64,
+    sequence: u64,
     released: HashMap<Id, Millis>,
     down: bool,
-    link_free: Millis,
+    link_free_at: Millis,
 }
 
 impl Allocator {
-    /// An allocator with every slot free.
+    /// An allocator with all slots free.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             holders: HashMap::new(),
-            kv_held: 0,
-            held_by: BTreeMap::new(),
+            kv_tokens_held: 0,
+            slots_by_organisation: BTreeMap::new(),
             waiters: Vec::new(),
-            ratio: RATIO_ONE,
-            order: 0,
+            hold_ratio: RATIO_ONE,
+            sequence: 0,
             released: HashMap::new(),
             down: false,
-            link_free: Millis::default(),
+            link_free_at: Millis::default(),
         }
     }
 
-    /// Grants, refuses, or with `None` queues an ask; asking twice changes nothing.
+    /// Grants or refuses a request, or queues it and returns `None`. Idempotent per attempt.
     pub fn ask(&mut self, ask: Ask, now: Millis) -> Option<Grant> {
         if let Some(grant) = self.granted(ask.attempt, now) {
             return Some(grant);
         }
         if self.down {
-            return Some(Grant::Refused { retry_after: DOWN_MILLIS });
+            return Some(Grant::Refused { retry_after: DOWN_RETRY_AFTER_MS });
         }
-        if self.waiters.iter().any(|it| it.ask.attempt == ask.attempt) {
+        if self.waiters.iter().any(|waiter| waiter.ask.attempt == ask.attempt) {
             return None;
         }
-        let ahead = self.waiters.iter().filter(|it| it.class(now) <= ask.class).count();
-        let link = self.link_wait(&ask, now);
-        if ask.transfer > 0 && link > ask.patience {
-            return Some(Grant::Refused { retry_after: link.max(RETRY_FLOOR_MILLIS) });
+        let waiters_before =
+            self.waiters.iter().filter(|waiter| waiter.class(now) <= ask.class).count();
+        let link_wait = self.link_wait_ms(&ask, now);
+        if ask.transfer > 0 && link_wait > ask.patience {
+            return Some(Grant::Refused { retry_after: link_wait.max(MIN_RETRY_AFTER_MS) });
         }
-        if ahead == 0 && self.fits(&ask, now) {
-            self.hold(&ask, now);
+        if waiters_before == 0 && self.fits(&ask, now) {
+            self.occupy(&ask, now);
             return self.granted(ask.attempt, now);
         }
-        let wait = self.wait_millis(|it| it.class(now) <= ask.class, now);
-        let full = self.waiters.len() >= self.limits.slots as usize * QUEUE_PER_SLOT;
+        let wait = self.expected_wait_ms(|waiter| waiter.class(now) <= ask.class, now);
+        let full = self.waiters.len() >= self.limits.slots as usize * MAX_WAITERS_PER_SLOT;
         if wait > ask.patience.saturating_add(ask.lead) || full {
-            return Some(Grant::Refused { retry_after: wait.max(RETRY_FLOOR_MILLIS) });
+            return Some(Grant::Refused { retry_after: wait.max(MIN_RETRY_AFTER_MS) });
         }
-        self.order += 1;
-        self.waiters.push(Waiter { ask, since: now, order: self.order });
+        self.sequence += 1;
+        self.waiters.push(Waiter { ask, since: now, sequence: self.sequence });
         None
     }
 
-    /// The grant of an attempt that holds a slot.
+    /// The grant of an attempt, if it holds a slot.
     pub fn granted(&self, attempt: Id, now: Millis) -> Option<Grant> {
         let holder = self.holders.get(&attempt)?;
         let wait = self.report(now).wait_millis;
         Some(Grant::Granted { start_in: holder.start_in, wait })
     }
 
-    /// Frees what an attempt holds or waits for and returns the attempts granted in turn.
+    /// Removes an attempt from the holders and the queue; returns the attempts that were granted a
+    /// slot in turn.
     pub fn release(&mut self, attempt: Id, now: Millis) -> Vec<Id> {
-        self.waiters.retain(|it| it.ask.attempt != attempt);
+        self.waiters.retain(|waiter| waiter.ask.attempt != attempt);
         self.released.insert(attempt, now);
-        self.free(attempt, now);
+        self.vacate(attempt, now);
         self.serve(now)
     }
 
-    /// Grants what now fits, in order, and returns the attempts.
+    /// Grants slots to waiting requests, in order, while the next one fits; returns their attempts.
     pub fn serve(&mut self, now: Millis) -> Vec<Id> {
         let mut granted = Vec::new();
-        while let Some(place) = self.first(now) {
-            if !self.fits(&self.waiters[place].ask.clone(), now) {
+        while let Some(index) = self.next_waiter(now) {
+            if !self.fits(&self.waiters[index].ask.clone(), now) {
                 break;
             }
-            let waiter = self.waiters.swap_remove(place);
-            self.hold(&waiter.ask, now);
+            let waiter = self.waiters.swap_remove(index);
+            self.occupy(&waiter.ask, now);
             granted.push(waiter.ask.attempt);
         }
         granted
     }
 
-    /// Notes whether the runner answers; while it doesn't, nothing is granted.
+    /// Records whether the runner responds. While it does not, new requests are refused and waiting
+    /// ones expire.
     pub fn answers(&mut self, answers: bool) {
         self.down = !answers;
     }
 
-    /// Gives up on waiters whose time is over, or whose runner is down, and returns them.
+    /// Removes waiting requests that are past their deadline, or all if the runner is down; returns
+    /// their attempts.
     pub fn expire(&mut self, now: Millis) -> Vec<Id> {
-        let (over, rest) = self.waiters.iter().partition(|it| self.down || it.deadline() <= now);
-        self.waiters = rest;
-        let over: Vec<Waiter> = over;
-        over.into_iter().map(|it| it.ask.attempt).collect()
+        let (expired, remaining) =
+            self.waiters.iter().partition(|waiter| self.down || waiter.deadline() <= now);
+        self.waiters = remaining;
+        let expired: Vec<Waiter> = expired;
+        expired.into_iter().map(|waiter| waiter.ask.attempt).collect()
     }
 
-    /// Counts attempts that the engine holds but that were granted by an earlier owner, until
+    /// Adds the attempts that the engine lists but that an earlier owner granted as holders, until
     /// the engine no longer lists them.
     ///
-    /// One released a moment ago may still be in a list that was asked for before.
+    /// Attempts released recently are skipped: the list may have been requested before the release.
     pub fn adopt(&mut self, listed: &[Id], now: Millis) {
-        self.released.retain(|_, at| now.since(*at) < RELEASED_MILLIS);
-        let gone = |(attempt, holder): (&Id, &Holder)| {
+        self.released.retain(|_, at| now.since(*at) < RELEASED_MEMORY_MS);
+        let unlisted = |(attempt, holder): (&Id, &Holder)| {
             (holder.adopted && !listed.contains(attempt)).then_some(*attempt)
         };
-        let ended: Vec<Id> = self.holders.iter().filter_map(gone).collect();
+        let ended: Vec<Id> = self.holders.iter().filter_map(unlisted).collect();
         for attempt in ended {
-            self.free(attempt, now);
+            self.vacate(attempt, now);
         }
         for attempt in listed {
             if !self.holders.contains_key(attempt) && !self.released.contains_key(attempt) {
@@ -247,19 +255,19 @@
                     hold: 0,
                     transfer: 0,
                 };
-                self.hold(&unknown, now);
-                self.holders.entry(*attempt).and_modify(|it| it.adopted = true);
+                self.occupy(&unknown, now);
+                self.holders.entry(*attempt).and_modify(|holder| holder.adopted = true);
             }
         }
     }
 
-    /// Attempts that hold slots, each with whether its maker is to be asked again now.
+    /// Attempts that hold slots, each with whether its origin node is due to confirm it.
     pub fn verify(&mut self, now: Millis) -> Vec<(Id, bool)> {
         let mut held = Vec::with_capacity(self.holders.len());
         for (attempt, holder) in &mut self.holders {
-            let due = now.since(holder.checked) >= VERIFY_MILLIS;
+            let due = now.since(holder.verified_at) >= VERIFY_INTERVAL_MS;
             if due {
-                holder.checked = now;
+                holder.verified_at = now;
             }
             held.push((*attempt, due));
         }
@@ -267,9 +275,9 @@
         held
     }
 
-    /// How busy the runner is.
+    /// Current load of the runner.
     pub fn report(&self, now: Millis) -> Report {
-        let wait = if self.down { u64::MAX } else { self.wait_millis(|_| true, now) };
+        let wait = if self.down { u64::MAX } else { self.expected_wait_ms(|_| true, now) };
         Report {
             busy: self.holders.len() as u32,
             waiting: self.waiters.len() as u32,
@@ -277,95 +285,98 @@
         }
     }
 
-    /// Advice on when to come back, in milliseconds.
+    /// Delay after which a refused request may be retried, in milliseconds.
     pub fn retry_after(&self, now: Millis) -> u64 {
-        self.wait_millis(|_| true, now).max(RETRY_FLOOR_MILLIS)
+        self.expected_wait_ms(|_| true, now).max(MIN_RETRY_AFTER_MS)
     }
 
-    /// Expected wait behind the holders and some of the waiters, in milliseconds.
-    fn wait_millis(&self, before: impl Fn(&Waiter) -> bool, now: Millis) -> u64 {
+    /// Expected wait behind all holders and the waiters selected by `before`, in milliseconds.
+    fn expected_wait_ms(&self, before: impl Fn(&Waiter) -> bool, now: Millis) -> u64 {
         if self.waiters.is_empty() && (self.holders.len() as u32) < self.limits.slots {
             return 0;
         }
-        let left = |holder: &Holder| (holder.since + self.scaled(holder.hold)).since(now);
-        let held: u64 = self.holders.values().map(left).sum();
-        let queued = self.waiters.iter().filter(|it| before(it));
-        let queued: u64 = queued.map(|it| self.scaled(it.ask.hold)).sum();
+        let remaining_ms =
+            |holder: &Holder| (holder.since + self.corrected_hold_ms(holder.hold)).since(now);
+        let held: u64 = self.holders.values().map(remaining_ms).sum();
+        let queued = self.waiters.iter().filter(|waiter| before(waiter));
+        let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.ask.hold)).sum();
         (held + queued) / u64::from(self.limits.slots.max(1))
     }
 
-    fn free(&mut self, attempt: Id, now: Millis) {
+    fn vacate(&mut self, attempt: Id, now: Millis) {
         if let Some(holder) = self.holders.remove(&attempt) {
-            self.kv_held -= holder.kv_tokens;
-            if let Some(count) = self.held_by.get_mut(&holder.organisation) {
+            self.kv_tokens_held -= holder.kv_tokens;
+            if let Some(count) = self.slots_by_organisation.get_mut(&holder.organisation) {
                 *count -= 1;
                 if *count == 0 {
-                    self.held_by.remove(&holder.organisation);
+                    self.slots_by_organisation.remove(&holder.organisation);
                 }
             }
-            self.learn(now.since(holder.since), holder.hold);
+            self.record_hold(now.since(holder.since), holder.hold);
         }
     }
 
-    /// Takes in how long a slot was really held.
-    fn learn(&mut self, held: u64, expected: u64) {
+    /// Updates the ratio of actual to expected hold time.
+    fn record_hold(&mut self, held: u64, expected: u64) {
         if let Some(sample) = (held * RATIO_ONE).checked_div(expected) {
             let sample = sample.clamp(RATIO_BOUNDS.0, RATIO_BOUNDS.1);
-            self.ratio = (self.ratio * (SMOOTHING - 1) + sample) / SMOOTHING;
+            self.hold_ratio = (self.hold_ratio * (RATIO_SMOOTHING - 1) + sample) / RATIO_SMOOTHING;
         }
     }
 
-    /// An expected holding time, corrected by how long slots have really been held.
-    fn scaled(&self, hold: u64) -> u64 {
-        hold * self.ratio / RATIO_ONE
+    /// An expected hold time, corrected by the ratio of actual to expected hold times.
+    fn corrected_hold_ms(&self, hold: u64) -> u64 {
+        hold * self.hold_ratio / RATIO_ONE
     }
 
     fn fits(&self, ask: &Ask, now: Millis) -> bool {
-        let kv = self.limits.kv_tokens;
-        if kv > 0 && self.kv_held > 0 && self.kv_held + ask.kv_tokens > kv {
+        let capacity = self.limits.kv_tokens;
+        if capacity > 0 && self.kv_tokens_held > 0 && self.kv_tokens_held + ask.kv_tokens > capacity
+        {
             return false;
         }
         let held = self.holders.len() as u32;
-        held < self.limits.slots + self.predicted(ask.lead, now)
+        held < self.limits.slots + self.predicted_releases(ask.lead, now)
     }
 
-    /// Releases expected within half of a lead.
-    fn predicted(&self, lead: u64, now: Millis) -> u32 {
+    /// Releases expected within half of a lead time; zero if early grants are off.
+    fn predicted_releases(&self, lead: u64, now: Millis) -> u32 {
         if !self.limits.ahead || lead == 0 {
             return 0;
         }
         let horizon = now + lead / 2;
-        let due = |holder: &&Holder| holder.since + self.scaled(holder.hold) <= horizon;
+        let due = |holder: &&Holder| holder.since + self.corrected_hold_ms(holder.hold) <= horizon;
         let count = self.holders.values().filter(due).count() as u32;
-        count.min(self.limits.slots / AHEAD_SHARE)
+        count.min(self.limits.slots / EARLY_GRANT_DIVISOR)
     }
 
-    fn first(&self, now: Millis) -> Option<usize> {
+    fn next_waiter(&self, now: Millis) -> Option<usize> {
         let rank = |waiter: &Waiter| {
-            let share = self.held_by.get(&waiter.ask.organisation).copied().unwrap_or(0);
-            (waiter.class(now), share, waiter.deadline(), waiter.order)
+            let slots_held =
+                self.slots_by_organisation.get(&waiter.ask.organisation).copied().unwrap_or(0);
+            (waiter.class(now), slots_held, waiter.deadline(), waiter.sequence)
         };
-        (0..self.waiters.len()).min_by_key(|place| rank(&self.waiters[*place]))
+        (0..self.waiters.len()).min_by_key(|index| rank(&self.waiters[*index]))
     }
 
-    /// How long the link will still be busy when a prefill that starts now ends.
-    fn link_wait(&self, ask: &Ask, now: Millis) -> u64 {
-        self.link_free.since(now + ask.lead)
+    /// Time that the link is still busy after the end of a prefill that starts now.
+    fn link_wait_ms(&self, ask: &Ask, now: Millis) -> u64 {
+        self.link_free_at.since(now + ask.lead)
     }
 
-    fn hold(&mut self, ask: &Ask, now: Millis) {
-        let start_in = if ask.transfer > 0 { self.link_wait(ask, now) } else { 0 };
+    fn occupy(&mut self, ask: &Ask, now: Millis) {
+        let start_in = if ask.transfer > 0 { self.link_wait_ms(ask, now) } else { 0 };
         if ask.transfer > 0 {
-            self.link_free = now + start_in + ask.lead + ask.transfer;
+            self.link_free_at = now + start_in + ask.lead + ask.transfer;
         }
-        self.kv_held += ask.kv_tokens;
-        *self.held_by.entry(ask.organisation).or_default() += 1;
+        self.kv_tokens_held += ask.kv_tokens;
+        *self.slots_by_organisation.entry(ask.organisation).or_default() += 1;
         let holder = Holder {
             organisation: ask.organisation,
             kv_tokens: ask.kv_tokens,
             hold: ask.hold,
             since: now,
-            checked: now,
+            verified_at: now,
             adopted: false,
             start_in,
         };
@@ -373,5 +384,5 @@
     }
 }
 
-/// At most one over this of the slots is granted ahead.
-const AHEAD_SHARE: u32 = 4;
+/// Early grants are limited to the number of slots divided by this.
+const EARLY_GRANT_DIVISOR: u32 = 4;
--- a/crates/coordination/src/splice.rs
+++ b/crates/coordination/src/splice.rs
@@ -1,19 +1,19 @@
-//! Output of a request, pieced together from attempts by offset.
+//! Assembles the output of a request from the pieces of its attempts, by offset.
 
 use crosslane_state::attempt::Id;
 
-/// What to do with a piece.
+/// What to do with a piece of output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Hand it on.
+    /// Forward it to the caller.
     Take,
-    /// Drop it: the attempt is not the current one, or the piece came before.
+    /// Drop it: it is a duplicate or belongs to another attempt than the current one.
     Drop,
-    /// Pieces are missing before it: break off and resume.
+    /// Pieces before it are missing: abort the attempt and resume with another.
     Gap,
 }
 
-/// Accepts pieces of the current attempt in order, each once.
+/// Accepts the pieces of the current attempt in order, each exactly once.
 #[derive(Clone, Debug)]
 pub struct Splice {
     attempt: Id,
@@ -22,22 +22,22 @@
 }
 
 impl Splice {
-    /// Expects the first piece of an attempt.
+    /// A splice that expects the first piece of an attempt.
     pub fn new(attempt: Id) -> Self {
         Self { attempt, next: 0, ended: false }
     }
 
-    /// Goes on with another attempt from the same offset.
+    /// Continues with another attempt at the same offset.
     pub fn switch(&mut self, attempt: Id) {
         self.attempt = attempt;
     }
 
-    /// Offset of the piece that comes next.
+    /// Offset of the next piece expected.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Judges a piece.
+    /// Decides what to do with a piece.
     pub fn piece(&mut self, attempt: Id, offset: u64) -> Piece {
         if self.ended || attempt != self.attempt || offset < self.next {
             return Piece::Drop;
@@ -49,7 +49,7 @@
         Piece::Take
     }
 
-    /// Judges an end mark after `total` pieces; true when the output is complete.
+    /// Handles an end marker after `total` pieces; returns whether the output is complete.
     pub fn end(&mut self, attempt: Id, total: u64) -> bool {
         if attempt == self.attempt && total == self.next {
             self.ended = true;
--- a/crates/coordination/src/stages.rs
+++ b/crates/coordination/src/stages.rs
@@ -1,171 +1,184 @@
-//! How many engines of a service prefill and how many decode.
+//! Plans how many engines of a service prefill and how many decode.
 //!
-//! Decode memory runs out long before prefill power does, so some quarter of the engines prefill and
-//! the rest decode. The way back is taken only when the prefill side is nearly gone.
+//! Decode memory runs out long before prefill throughput, so about a quarter of the engines prefill
+//! and the others decode. Engines are moved back from decode to prefill only when few prefill engines
+//! are left, or when some have been missing for `SHORTAGE_MS`.
 
 use crosslane_state::endpoint::{Endpoint, Key, Stage};
 use crosslane_state::time::Millis;
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
 
-/// Engines per prefilling engine that the mean of the sites' traffic keeps busy.
+/// Engines per prefill engine at which average traffic keeps the prefill engines busy.
 const ENGINES_PER_PREFILL: f64 = 5.0;
 
-/// Engines per prefilling engine above which one is taken back from decoding: with one in eight
-/// left, a site's usual prompts kept it fully busy, and each waited a second.
-const ENGINES_PER_PREFILL_LEAST: f64 = 6.0;
+/// Engines per prefill engine above which a decode engine is moved back to prefill. With one prefill
+/// engine out of eight, the usual prompts keep it fully busy and each prompt waits for a second.
+const MAX_ENGINES_PER_PREFILL: f64 = 6.0;
 
-/// Prefilling engines in reserve per square root of all engines: the more there are, the less each
-/// one's queue varies. It gives 3 of 9 engines and 5 of 18, with one less of which prompts wait for a second.
-const RESERVE: f64 = 0.35;
+/// Prefill engines in reserve per square root of all engines: the more engines there are, the less
+/// their queues vary. This gives 3 of 9 engines and 5 of 18; with one fewer, prompts wait for a
+/// second.
+const PREFILL_RESERVE: f64 = 0.35;
 
-/// Time that the list of engines must stand still before anything is ordered, in milliseconds.
-/// Engines of a starting site appear over some 3 s, and a share of a part of them is wrong.
-const SETTLED: u64 = 800;
+/// Time for which the list of engines must be unchanged before anything is ordered. The engines of a
+/// starting site register over about 3 s, and a split of only a part of them would be wrong.
+const SETTLE_MS: u64 = 800;
 
-/// Time before the same engine is ordered again, in milliseconds: an order may be carried out 12 s
-/// late, and a change of stage takes about 6 s more.
-const REORDER: u64 = 20_000;
+/// Time before the same engine is ordered again: an order may be executed up to 12 s late, and a
+/// stage change takes about 6 s more.
+const REORDER_MS: u64 = 20_000;
 
-/// Time that a number of engines is remembered, in milliseconds: engines that crash are back after
-/// some 5 s, and a change of stage takes about 6 s out of an engine's work.
-const REMEMBERED: u64 = 8_000;
+/// Time for which engine counts are remembered: crashed engines return after about 5 s, and a stage
+/// change takes an engine out of service for about 6 s.
+const COUNT_WINDOW_MS: u64 = 8_000;
 
-/// Time that fewer engines than wanted must prefill before one is taken back from decoding, in
-/// milliseconds. An engine that crashes for the usual 5 s is missing from the list for less.
-const MISSED: u64 = 4_000;
+/// Time for which prefill engines must be missing before decode engines replace them. An engine that
+/// crashes for the usual 5 s is missing from the list for less.
+const SHORTAGE_MS: u64 = 4_000;
 
-/// A change of stage to order.
+/// A stage change to order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Engine to order.
+    /// The engine.
     pub key: Key,
-    /// Stage to take.
+    /// Its new stage.
     pub stage: Stage,
 }
 
-/// Plans changes of stage.
+/// Planner of stage changes for one service.
 #[derive(Debug, Default)]
 pub struct Plan {
-    ordered: HashMap<Key, (Stage, Millis)>,
-    seen: Vec<Key>,
-    since: Millis,
-    /// Numbers of engines seen lately.
-    counts: VecDeque<(Millis, usize)>,
-    /// Since when fewer engines than wanted prefill.
-    short: Option<Millis>,
+    orders: HashMap<Key, (Stage, Millis)>,
+    last_engines: Vec<Key>,
+    unchanged_since: Millis,
+    /// Recent engine counts.
+    recent_counts: VecDeque<(Millis, usize)>,
+    /// Since when there are fewer prefill engines than the target.
+    short_since: Option<Millis>,
 }
 
 impl Plan {
-    /// Changes wanted among the live engines of one service.
+    /// Stage changes to order among the live engines of the service.
     pub fn changes(&mut self, engines: &[(Key, &Endpoint)], now: Millis) -> Vec<Change> {
-        let most = self.most(engines.len(), now);
-        if !self.settled(engines, now) {
+        let max = self.recent_max(engines.len(), now);
+        if !self.is_settled(engines, now) {
             return Vec::new();
         }
-        self.ordered.retain(|key, (_, at)| {
-            now.since(*at) < REORDER && engines.iter().any(|(it, _)| it == key)
+        self.orders.retain(|key, (_, at)| {
+            now.since(*at) < REORDER_MS && engines.iter().any(|(listed, _)| listed == key)
         });
-        let prefill = self.prefilling(engines).count();
-        let most = wanted(most);
-        let least = self.least(prefill, engines.len(), now);
-        let (count, from, to) = if prefill > most {
-            (prefill - most, Stage::Prefill, Stage::Decode)
-        } else if prefill < least && engines.len() > 1 {
-            (least - prefill, Stage::Decode, Stage::Prefill)
+        let prefill = self.planned_prefill(engines).count();
+        let max = target_prefill(max);
+        let min = self.min_prefill(prefill, engines.len(), now);
+        let (count, from, to) = if prefill > max {
+            (prefill - max, Stage::Prefill, Stage::Decode)
+        } else if prefill < min && engines.len() > 1 {
+            (min - prefill, Stage::Decode, Stage::Prefill)
         } else {
             return Vec::new();
         };
-        let mut free: Vec<(Key, &Endpoint)> = engines
+        let mut candidates: Vec<(Key, &Endpoint)> = engines
             .iter()
-            .filter(|(key, it)| it.stage == from && !it.draining && !self.ordered.contains_key(key))
+            .filter(|(key, endpoint)| {
+                endpoint.stage == from && !endpoint.draining && !self.orders.contains_key(key)
+            })
             .copied()
             .collect();
-        let mut domains = Domains::of(self.prefilling(engines).map(|it| it.domain.as_str()));
+        let mut counts = PrefillCounts::of(
+            self.planned_prefill(engines).map(|endpoint| endpoint.domain.as_str()),
+        );
         let changes = (0..count).map_while(|_| {
-            let place = domains.next(&free, to)?;
-            Some(Change { key: free.remove(place).0, stage: to })
+            let index = counts.take_next(&candidates, to)?;
+            Some(Change { key: candidates.remove(index).0, stage: to })
         });
         changes.collect()
     }
 
-    /// Engines that prefill once all orders are carried out.
-    fn prefilling<'a>(
+    /// Engines that prefill once all orders are executed.
+    fn planned_prefill<'a>(
         &self,
         engines: &[(Key, &'a Endpoint)],
     ) -> impl Iterator<Item = &'a Endpoint> {
-        let stage = |key: &Key, it: &Endpoint| self.ordered.get(key).map_or(it.stage, |it| it.0);
-        engines.iter().filter(move |(key, it)| stage(key, it) == Stage::Prefill).map(|(_, it)| *it)
+        let stage = |key: &Key, endpoint: &Endpoint| {
+            self.orders.get(key).map_or(endpoint.stage, |order| order.0)
+        };
+        engines
+            .iter()
+            .filter(move |(key, endpoint)| stage(key, endpoint) == Stage::Prefill)
+            .map(|(_, endpoint)| *endpoint)
     }
 
-    /// Engines that must prefill: a few at once, and as many as wanted if they are missed for long.
-    fn least(&mut self, prefill: usize, engines: usize, now: Millis) -> usize {
-        let wanted = wanted(engines);
-        let short = prefill < wanted;
-        self.short = short.then(|| self.short.unwrap_or(now));
-        if self.short.is_some_and(|since| now.since(since) >= MISSED) {
-            return wanted;
+    /// Fewest engines that must prefill: a lower bound at once, the target after [`SHORTAGE_MS`].
+    fn min_prefill(&mut self, prefill: usize, engines: usize, now: Millis) -> usize {
+        let target = target_prefill(engines);
+        let short = prefill < target;
+        self.short_since = short.then(|| self.short_since.unwrap_or(now));
+        if self.short_since.is_some_and(|since| now.since(since) >= SHORTAGE_MS) {
+            return target;
         }
-        (engines as f64 / ENGINES_PER_PREFILL_LEAST).ceil() as usize
+        (engines as f64 / MAX_ENGINES_PER_PREFILL).ceil() as usize
     }
 
-    /// Most engines seen lately: those that crashed are usually back before a change is done.
-    fn most(&mut self, count: usize, now: Millis) -> usize {
-        self.counts.retain(|(at, _)| now.since(*at) < REMEMBERED);
-        if self.counts.back().is_none_or(|(_, last)| *last != count) {
-            self.counts.push_back((now, count));
+    /// Largest recent engine count: crashed engines usually return before a stage change completes.
+    fn recent_max(&mut self, count: usize, now: Millis) -> usize {
+        self.recent_counts.retain(|(at, _)| now.since(*at) < COUNT_WINDOW_MS);
+        if self.recent_counts.back().is_none_or(|(_, latest)| *latest != count) {
+            self.recent_counts.push_back((now, count));
         }
-        self.counts.iter().map(|(_, count)| *count).max().unwrap_or(count)
+        self.recent_counts.iter().map(|(_, count)| *count).max().unwrap_or(count)
     }
 
-    fn settled(&mut self, engines: &[(Key, &Endpoint)], now: Millis) -> bool {
-        if !self.seen.iter().eq(engines.iter().map(|(key, _)| key)) {
-            self.seen = engines.iter().map(|(key, _)| *key).collect();
-            self.since = now;
+    fn is_settled(&mut self, engines: &[(Key, &Endpoint)], now: Millis) -> bool {
+        if !self.last_engines.iter().eq(engines.iter().map(|(key, _)| key)) {
+            self.last_engines = engines.iter().map(|(key, _)| *key).collect();
+            self.unchanged_since = now;
         }
-        now.since(self.since) >= SETTLED
+        now.since(self.unchanged_since) >= SETTLE_MS
     }
 
-    /// Takes notice of an order that another node sent, unless it is known.
+    /// Records an order sent by another node, unless one for the engine is known.
     pub fn told(&mut self, change: Change, now: Millis) {
-        self.ordered.entry(change.key).or_insert((change.stage, now));
+        self.orders.entry(change.key).or_insert((change.stage, now));
     }
 
-    /// Remembers that an order was sent.
+    /// Records an order sent by this node.
     pub fn sent(&mut self, change: Change, now: Millis) {
-        self.ordered.insert(change.key, (change.stage, now));
+        self.orders.insert(change.key, (change.stage, now));
     }
 }
 
-/// Prefilling engines by failure domain. They are kept even, since nodes prefer their own domain's.
+/// Number of prefill engines by failure domain. They are kept balanced, as nodes prefer engines of
+/// their own domain.
 #[derive(Debug)]
-struct Domains<'a>(HashMap<&'a str, usize>);
+struct PrefillCounts<'a>(HashMap<&'a str, usize>);
 
-impl<'a> Domains<'a> {
-    fn of(prefilling: impl Iterator<Item = &'a str>) -> Self {
+impl<'a> PrefillCounts<'a> {
+    fn of(prefill_domains: impl Iterator<Item = &'a str>) -> Self {
         let mut counts = HashMap::new();
-        prefilling.for_each(|it| *counts.entry(it).or_default() += 1);
+        prefill_domains.for_each(|domain| *counts.entry(domain).or_default() += 1);
         Self(counts)
     }
 
-    /// Place of the engine to change next: where most prefill, or where fewest do.
-    fn next(&mut self, free: &[(Key, &'a Endpoint)], to: Stage) -> Option<usize> {
+    /// Index of the engine to change next: one in the domain with the fewest prefill engines if it
+    /// becomes one, else in the domain with the most.
+    fn take_next(&mut self, candidates: &[(Key, &'a Endpoint)], to: Stage) -> Option<usize> {
         let count = |domain: &str| self.0.get(domain).copied().unwrap_or(0);
-        let counted = free.iter().map(|(_, it)| count(&it.domain)).enumerate();
+        let counted = candidates.iter().map(|(_, endpoint)| count(&endpoint.domain)).enumerate();
         let chosen = if to == Stage::Prefill {
-            counted.min_by_key(|(place, count)| (*count, *place))
+            counted.min_by_key(|(index, count)| (*count, *index))
         } else {
-            counted.max_by_key(|(place, count)| (*count, Reverse(*place)))
+            counted.max_by_key(|(index, count)| (*count, Reverse(*index)))
         };
-        let (place, _) = chosen?;
-        let prefilling = self.0.entry(&free[place].1.domain).or_default();
-        *prefilling = if to == Stage::Prefill { *prefilling + 1 } else { *prefilling - 1 };
-        Some(place)
+        let (index, _) = chosen?;
+        let prefill_count = self.0.entry(&candidates[index].1.domain).or_default();
+        *prefill_count = if to == Stage::Prefill { *prefill_count + 1 } else { *prefill_count - 1 };
+        Some(index)
     }
 }
 
-/// Prefilling engines wanted among some engines.
-fn wanted(engines: usize) -> usize {
+/// Target number of prefill engines for a number of engines.
+fn target_prefill(engines: usize) -> usize {
     let engines = engines as f64;
-    (engines / ENGINES_PER_PREFILL + RESERVE * engines.sqrt()).round() as usize
+    (engines / ENGINES_PER_PREFILL + PREFILL_RESERVE * engines.sqrt()).round() as usize
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -84,7 +84,7 @@
 #[case(Told { name: "after a calm", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
 fn patience(#[case] case: Told) {
     let mut patience = Patience::default();
-    let spent = case.callers.iter().map(|(at, it)| patience.spent(*it, Millis(*at))).last();
+    let spent = case.callers.iter().map(|(at, told)| patience.spent(*told, Millis(*at))).last();
     assert_eq!(spent, Some(case.spent), "{}", case.name);
 }
 
--- a/crates/coordination/tests/fold.rs
+++ b/crates/coordination/tests/fold.rs
@@ -176,8 +176,8 @@
     let id = || prop::sample::select(vec!["a", "b", "c", "d"]);
     prop_oneof![
         (0..4u64, 1..9u64).prop_map(|(vm, incarnation)| Some(join(vm, incarnation))),
-        (1..9u64, any::<bool>()).prop_map(|(it, released)| {
-            Some(Record::Depart { incarnation: Incarnation(it), released })
+        (1..9u64, any::<bool>()).prop_map(|(incarnation, released)| {
+            Some(Record::Depart { incarnation: Incarnation(incarnation), released })
         }),
         (id(), 0..4u64).prop_map(|(id, base)| Some(publish(id, base))),
         id().prop_map(|id| Some(Record::Withdraw { publication: id.to_owned() })),
@@ -224,7 +224,7 @@
                 let text = serde_json::to_string(&second).unwrap();
                 second = serde_json::from_str(&text).unwrap();
             }
-            for repeat in repeats.iter().filter(|it| **it < offset) {
+            for repeat in repeats.iter().filter(|earlier| **earlier < offset) {
                 second.fold(*repeat as u64, records[*repeat].clone()).unwrap();
             }
             second.fold(offset as u64, record.clone()).unwrap();
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -214,7 +214,7 @@
                 let name = key(request.key);
                 // The other node may do what is asked and its reply be lost.
                 let reply =
-                    self.nodes.get_mut(&other.0).map(|it| it.ledger.release(&name, by, now));
+                    self.nodes.get_mut(&other.0).map(|node| node.ledger.release(&name, by, now));
                 let inquired = match reply {
                     Some(true) if luck == Luck::Good => Inquired::Free,
                     Some(false) if luck == Luck::Good => Inquired::Known,
@@ -259,10 +259,10 @@
     /// A node hears the announcements that the others know.
     fn gossip(&mut self, number: u64) {
         let told: Vec<Leave> =
-            self.nodes.values().flat_map(|it| it.told().cloned().collect::<Vec<_>>()).collect();
+            self.nodes.values().flat_map(|node| node.told().cloned().collect::<Vec<_>>()).collect();
         if let Some(node) = self.nodes.get_mut(&number) {
-            told.into_iter().for_each(|it| {
-                node.tell(it);
+            told.into_iter().for_each(|leave| {
+                node.tell(leave);
             });
         }
     }
@@ -287,7 +287,7 @@
         if self.log_out {
             return;
         }
-        let busy = self.requests.iter().any(|it| it.at == number && !it.ended);
+        let busy = self.requests.iter().any(|request| request.at == number && !request.ended);
         let Some(node) = self.nodes.get(&number).filter(|_| !busy) else {
             return;
         };
@@ -295,7 +295,8 @@
             return;
         }
         for (key, fingerprint, answer) in node.ledger.handover() {
-            let Some(next) = self.nodes[&number].successor(&key).map(|it| it.incarnation.0) else {
+            let Some(next) = self.nodes[&number].successor(&key).map(|member| member.incarnation.0)
+            else {
                 return;
             };
             let Some(heir) = self.nodes.get_mut(&next) else {
@@ -313,7 +314,7 @@
             Event::Ask(key, at) => self.ask(key, at, None),
             Event::Advance(place, luck) => {
                 let open: Vec<_> =
-                    (0..self.requests.len()).filter(|it| !self.requests[*it].ended).collect();
+                    (0..self.requests.len()).filter(|index| !self.requests[*index].ended).collect();
                 if !open.is_empty() {
                     self.advance(open[place % open.len()], luck);
                 }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -114,13 +114,13 @@
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Moved(other));
     let before = ledger.releases();
     assert!(ledger.release(&key(1), third, NOW), "and to another, if it was not run");
-    ledger.reclaim(&key(1), before, |it| it == third);
+    ledger.reclaim(&key(1), before, |node| node == third);
     assert_eq!(
         ledger.begin(&key(1), FINGERPRINT, false, NOW),
         Begin::Moved(third),
         "given up since"
     );
-    ledger.reclaim(&key(1), ledger.releases(), |it| it == third);
+    ledger.reclaim(&key(1), ledger.releases(), |node| node == third);
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Run);
     assert!(!ledger.release(&key(1), other, NOW), "it runs");
 }
--- a/crates/coordination/tests/pool.rs
+++ b/crates/coordination/tests/pool.rs
@@ -55,7 +55,7 @@
 
 fn chosen(pool: &mut Pool, now: u64) -> Option<String> {
     let (key, _) = pool.choose(QUERY, Millis(now))?;
-    pool.get(key).map(|it| it.id.clone())
+    pool.get(key).map(|endpoint| endpoint.id.clone())
 }
 
 struct Lapse {
@@ -285,7 +285,7 @@
 fn another_birth_is_another_endpoint(#[case] lenient: bool) {
     let mut pool = pool(&["a", "b"]);
     pool.hear(Tag(7), vec![(tag("a"), usage(5, 40_000))], UNTIL);
-    let former = pool.engines()[SERVICE].iter().find(|it| it.1.id == "a").unwrap().0;
+    let former = pool.engines()[SERVICE].iter().find(|engine| engine.1.id == "a").unwrap().0;
     pool.enter(former, 5_000);
     pool.note(former, Outcome::Failed, Millis(0));
     pool.ordered(former, Stage::Prefill, Millis(0));
@@ -339,7 +339,8 @@
     let query = Query { connections: u32::MAX, room, ..QUERY };
     for _ in 0..50 {
         let chosen = pool.choose(query, Millis(100));
-        let domain = chosen.and_then(|it| pool.get(it.0)).map(|it| it.domain.as_str());
+        let domain =
+            chosen.and_then(|choice| pool.get(choice.0)).map(|endpoint| endpoint.domain.as_str());
         assert_eq!(domain, case.domain, "{}", case.name);
     }
 }
@@ -375,7 +376,7 @@
 #[rstest]
 fn an_endpoint_whose_limit_has_no_room_is_left_alone_until_it_has() {
     let mut pool = pool(&["a", "b"]);
-    let keys = ["a", "b"].map(|it| pool.key(tag(it)).unwrap());
+    let keys = ["a", "b"].map(|id| pool.key(tag(id)).unwrap());
     pool.hold_back(keys[0], Millis(500));
     assert_eq!(chosen(&mut pool, 100).as_deref(), Some("b"));
     assert_eq!(pool.held_for(SERVICE, Stage::Decode, Millis(100)), None);
--- a/crates/coordination/tests/replay/mod.rs
+++ b/crates/coordination/tests/replay/mod.rs
@@ -110,15 +110,16 @@
         if load.cut == Some(now) {
             orphans = cut(&mut streams, now);
         }
-        for orphan in orphans.extract_if(.., |it| it.until <= now) {
+        for orphan in orphans.extract_if(.., |orphan| orphan.until <= now) {
             used[orphan.engine] -= orphan.tokens;
         }
         for stream in &mut streams {
             step(stream, &mut used, rule, now, &mut random);
         }
     }
-    let worth = |it: &Stream| if let State::Done { worth } = it.state { worth } else { 0.0 };
-    let lost = streams.iter().filter(|it| worth(it) == 0.0).count();
+    let worth =
+        |stream: &Stream| if let State::Done { worth } = stream.state { worth } else { 0.0 };
+    let lost = streams.iter().filter(|stream| worth(stream) == 0.0).count();
     let sum: f64 = streams.iter().map(worth).sum();
     Outcome { worth: sum / streams.len() as f64, lost }
 }
@@ -126,8 +127,8 @@
 fn arrivals(load: Load, random: &mut SmallRng) -> Vec<Stream> {
     let mut streams = Vec::new();
     for now in (0..load.length).step_by(STEP as usize) {
-        let burst = load.bursts.iter().find(|it| (it.0..it.1).contains(&now));
-        let rate = load.rate * burst.map_or(1.0, |it| it.2);
+        let burst = load.bursts.iter().find(|burst| (burst.0..burst.1).contains(&now));
+        let rate = load.rate * burst.map_or(1.0, |found| found.2);
         if random.random_bool(rate * STEP as f64 / 1_000.0) {
             let tokens = random.random_range(100..1_180);
             let state = State::Away { until: now };
@@ -193,7 +194,7 @@
 ) {
     let terms = rule(&stream.caller(since));
     let asks = random.random_bool(STEP as f64 / 70.0);
-    let emptiest = (0..used.len()).min_by_key(|it| used[*it]);
+    let emptiest = (0..used.len()).min_by_key(|engine| used[*engine]);
     if let Some(engine) = emptiest.filter(|_| asks) {
         let load = used[engine] as f64 / CAPACITY as f64;
         if load <= terms.full && used[engine] + stream.need() <= CAPACITY {
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -53,7 +53,7 @@
     plan.changes(engines, Millis(0));
     let changes = plan.changes(engines, Millis(1_000));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
-    assert!(changes.iter().all(|it| Some(it.stage) == case.to), "{}", case.name);
+    assert!(changes.iter().all(|change| Some(change.stage) == case.to), "{}", case.name);
 }
 
 #[rstest]
@@ -63,7 +63,7 @@
     for round in 1..5_usize {
         assert!(plan.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
         let mut engines: Vec<Endpoint> =
-            pool.engines()[SERVICE].iter().map(|(_, it)| (*it).clone()).collect();
+            pool.engines()[SERVICE].iter().map(|(_, endpoint)| (*endpoint).clone()).collect();
         engines.push(engine(10 + round, Stage::Decode));
         pool.replace(engines, false, Millis(0));
     }
@@ -113,11 +113,11 @@
     let changes = plan.changes(engines, Millis(1_000));
     let after = |place: usize| {
         let prefills = |key, stage| {
-            let change = changes.iter().find(|it| it.key == key);
-            change.map_or(stage, |it| it.stage) == Stage::Prefill
+            let change = changes.iter().find(|change| change.key == key);
+            change.map_or(stage, |found| found.stage) == Stage::Prefill
         };
-        let there = engines.iter().filter(|(_, it)| it.domain == domain(place));
-        there.filter(|(key, it)| prefills(*key, it.stage)).count()
+        let there = engines.iter().filter(|(_, endpoint)| endpoint.domain == domain(place));
+        there.filter(|(key, endpoint)| prefills(*key, endpoint.stage)).count()
     };
     let mut counts = [after(0), after(1), after(2)];
     counts.sort_by(|one, other| other.cmp(one));
@@ -147,5 +147,5 @@
     assert!(plan.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
     let changes = plan.changes(engines, Millis(case.after));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
-    assert!(changes.iter().all(|it| it.stage == Stage::Prefill), "{}", case.name);
+    assert!(changes.iter().all(|change| change.stage == Stage::Prefill), "{}", case.name);
 }
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -88,17 +88,17 @@
         let now = START + SUSPECT_MILLIS;
         let mut looked_after = Vec::new();
         let mut owned_by_dead = BTreeSet::new();
-        for me in (0..NODES).filter(|it| !silent.contains(it)) {
+        for me in (0..NODES).filter(|number| !silent.contains(number)) {
             let mut node = node(me);
-            let heard = (0..NODES).filter(|it| !silent.contains(it));
-            heard.for_each(|it| node.detector.heard(Incarnation(it), now));
-            confirmed.iter().for_each(|it| node.detector.confirm(Incarnation(*it), now));
-            looked_after.extend(node.taken_over(now).into_iter().map(|it| it.id));
-            let dead = |it: &Runner| {
-                confirmed.iter().any(|gone| node.owner(it.id) == Some(Incarnation(*gone)))
+            let heard = (0..NODES).filter(|number| !silent.contains(number));
+            heard.for_each(|number| node.detector.heard(Incarnation(number), now));
+            confirmed.iter().for_each(|number| node.detector.confirm(Incarnation(*number), now));
+            looked_after.extend(node.taken_over(now).into_iter().map(|runner| runner.id));
+            let dead = |runner: &Runner| {
+                confirmed.iter().any(|gone| node.owner(runner.id) == Some(Incarnation(*gone)))
             };
-            let engines = node.options().table.iter().filter(|it| it.role != Role::Service);
-            owned_by_dead.extend(engines.filter(|it| dead(it)).map(|it| it.id));
+            let engines = node.options().table.iter().filter(|runner| runner.role != Role::Service);
+            owned_by_dead.extend(engines.filter(|runner| dead(runner)).map(|runner| runner.id));
         }
         looked_after.sort();
         assert_eq!(looked_after, Vec::from_iter(owned_by_dead), "silent: {silent:?}");
