--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -1,4 +1,4 @@
-//! Cost of one placement against the size of the pool, for each way.
+//! Cost of one placement by size of the pool, for each placement mode.
 
 use crosslane_coordination::placement::{Chooser, Mode, Query};
 use crosslane_state::incarnation::Incarnation;
@@ -19,10 +19,10 @@
 fn pool(size: usize) -> (Table, Board) {
     let mut table = Table::default();
     let mut board = Board::default();
-    for place in 0..size {
-        let name = format!("decode-{place}");
+    for index in 0..size {
+        let name = format!("decode-{index}");
         let id = Id::of(&name);
-        board.report(id, Report { busy: place as u32 % 20, ..Report::default() }, Millis(0));
+        board.report(id, Report { busy: index as u32 % 20, ..Report::default() }, Millis(0));
         table.insert(Runner {
             id,
             vm: name.clone(),
@@ -88,21 +88,21 @@
     roster
 }
 
-/// Members ranked for a key, as each keyed request needs it.
+/// Ranking of all members for a key, done for each keyed request.
 #[divan::bench(args = [8, 100, 780])]
 fn ranked(bencher: Bencher<'_, '_>, size: u64) {
     let roster = roster(size);
     bencher.bench_local(|| roster.ranked(black_box(7)));
 }
 
-/// Owner of a runner, as each slot needs it.
+/// Owner of a runner, determined for each slot request.
 #[divan::bench(args = [8, 100, 780])]
 fn owner(bencher: Bencher<'_, '_>, size: u64) {
     let roster = roster(size);
     bencher.bench_local(|| roster.owner(black_box(7), |_| true));
 }
 
-/// Difference between the fullest and the emptiest of the pool after ten requests a runner.
+/// Difference between the most and the least loaded runner after ten requests per runner.
 #[divan::bench(args = SPREAD_MODES, consts = SIZES, sample_count = 1, sample_size = 1)]
 fn spread<const SIZE: usize>(mode: Mode) -> u32 {
     let (table, _) = pool(SIZE);
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: who counts as late, and how long and up to which load each waits.
+//! Admission: which callers count as late, and the longest wait and utilization limit of each class.
 
 use crosslane_coordination::admission::{self, Caller, Patience, Standing};
 use crosslane_coordination::reader::{Kept, Reader};
@@ -25,13 +25,13 @@
     wait: 450,
 })]
 #[case(Case {
-    name: "refused before",
+    name: "retry after a refusal",
     caller: Caller { spent: 2_300, ..FIRST_TRY },
     standing: Standing::Late,
     wait: 2_880,
 })]
 #[case(Case {
-    name: "takes up a stream",
+    name: "resumes a stream",
     caller: Caller { resumes: true, ..FIRST_TRY },
     standing: Standing::Resumed,
     wait: 2_880,
@@ -49,69 +49,70 @@
 }
 
 #[rstest]
-fn the_late_leave_room_to_those_on_time_and_those_who_were_cut_off() {
+fn late_callers_have_the_lowest_utilization_limit() {
     assert!(Standing::Late.full() < Standing::Resumed.full());
     assert!(Standing::Resumed.full() < Standing::OnTime.full());
 }
 
 #[rstest]
-fn a_resumed_stream_waits_less_than_its_caller() {
+fn a_resume_waits_for_half_of_the_silence_timeout() {
     assert_eq!(admission::resume_wait(&FIRST_TRY), 1_800);
 }
 
-struct Told {
+struct Timeouts {
     name: &'static str,
-    /// Time and patience of each caller.
+    /// Arrival time and timeout of each caller, in milliseconds.
     callers: &'static [(u64, u64)],
-    /// Time that the last one spent.
+    /// Expected time spent by the last caller, in milliseconds.
     spent: u64,
 }
 
 #[rstest]
-#[case(Told { name: "the first", callers: &[(0, 9_000)], spent: 0 })]
-#[case(Told { name: "a second try", callers: &[(0, 14_000), (10, 11_000)], spent: 3_000 })]
-#[case(Told { name: "longest first seen", callers: &[(0, 11_000), (10, 14_000)], spent: 0 })]
-#[case(Told {
+#[case(Timeouts { name: "the first caller", callers: &[(0, 9_000)], spent: 0 })]
+#[case(Timeouts { name: "a second try", callers: &[(0, 14_000), (10, 11_000)], spent: 3_000 })]
+#[case(Timeouts { name: "a longer timeout than before", callers: &[(0, 11_000), (10, 14_000)], spent: 0 })]
+#[case(Timeouts {
     name: "remembered over a period",
     callers: &[(0, 14_000), (12_000, 13_000), (12_500, 11_000)],
     spent: 3_000,
 })]
-#[case(Told {
-    name: "callers who have become shorter",
+#[case(Timeouts {
+    name: "timeouts became shorter",
     callers: &[(0, 14_000), (12_000, 9_000), (23_000, 9_000)],
     spent: 0,
 })]
-#[case(Told { name: "after a calm", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
-fn patience(#[case] case: Told) {
+#[case(Timeouts { name: "after an idle period", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
+fn patience(#[case] case: Timeouts) {
     let mut patience = Patience::default();
     let spent = case.callers.iter().map(|(at, told)| patience.spent(*told, Millis(*at))).last();
     assert_eq!(spent, Some(case.spent), "{}", case.name);
 }
 
-/// First tries of callers whose patience differs by 15 in 100, and one in six that comes back after 3 s.
+/// Callers whose timeouts differ by 15 %; one in six is a retry after 3 s. First tries with a short
+/// timeout must not be treated as retries.
 #[rstest]
-fn callers_of_different_patience_are_not_taken_for_late() {
+fn callers_with_different_timeouts_are_not_taken_for_retries() {
     let mut random = SmallRng::seed_from_u64(5);
     let mut patience = Patience::default();
-    let (mut wronged, mut found, mut first, mut back) = (0, 0, 0, 0);
+    let (mut misclassified, mut detected, mut first_tries, mut retries) = (0, 0, 0, 0);
     for now in (0..600_000).step_by(500) {
-        let whole = random.random_range(11_900..=16_100);
-        let comes_back = random.random_bool(1.0 / 6.0);
-        let told = if comes_back { whole - 3_000 } else { whole };
-        let late = patience.spent(told, Millis(now)) > 0;
+        let timeout = random.random_range(11_900..=16_100);
+        let is_retry = random.random_bool(1.0 / 6.0);
+        let remaining = if is_retry { timeout - 3_000 } else { timeout };
+        let late = patience.spent(remaining, Millis(now)) > 0;
         if now < 10_000 {
             continue;
         }
-        if comes_back {
-            back += 1;
-            found += u32::from(late);
+        if is_retry {
+            retries += 1;
+            detected += u32::from(late);
         } else {
-            first += 1;
-            wronged += u32::from(late);
+            first_tries += 1;
+            misclassified += u32::from(late);
         }
     }
-    assert!(wronged * 20 < first, "{wronged} of {first}");
-    assert!(found * 3 > back, "{found} of {back}");
+    assert!(misclassified * 20 < first_tries, "{misclassified} of {first_tries} first tries");
+    assert!(detected * 3 > retries, "{detected} of {retries} retries");
 }
 
 struct Read {
@@ -123,19 +124,19 @@
 
 #[rstest]
 #[case(Read {
-    name: "usual",
+    name: "not cached, short queue",
     kept: Kept::Nowhere,
     queue: Some(0.2),
     reader: Reader::Prefilling,
 })]
 #[case(Read {
-    name: "kept where it will run",
+    name: "cached at the decode engine",
     kept: Kept::Decoding,
     queue: Some(0.0),
     reader: Reader::Decoding,
 })]
 #[case(Read {
-    name: "kept where it was read, behind a queue",
+    name: "cached at a prefill engine with a queue",
     kept: Kept::Prefilling,
     queue: Some(0.9),
     reader: Reader::Prefilling,
@@ -147,7 +148,7 @@
     reader: Reader::Decoding,
 })]
 #[case(Read {
-    name: "nobody prefills",
+    name: "no prefill engine",
     kept: Kept::Nowhere,
     queue: None,
     reader: Reader::Decoding,
@@ -163,15 +164,15 @@
     reader: Reader,
 }
 
-/// The shortest of many queues is long only when all prefilling engines are busy.
+/// The shortest of many queues is long only if all prefill engines are busy.
 #[rstest]
-#[case(Queued { name: "a few engines, a burst that passes", engines: 3, queue: 0.3, reader: Reader::Prefilling })]
+#[case(Queued { name: "few engines, short burst", engines: 3, queue: 0.3, reader: Reader::Prefilling })]
 #[case(Queued { name: "many engines, all busy", engines: 11, queue: 0.3, reader: Reader::Decoding })]
 #[case(Queued { name: "many engines, one nearly idle", engines: 11, queue: 0.1, reader: Reader::Prefilling })]
-#[case(Queued { name: "no queue is shorter than a prompt's own reading", engines: 500, queue: 0.1, reader: Reader::Prefilling })]
+#[case(Queued { name: "queue no longer than the prefill of one prompt", engines: 500, queue: 0.1, reader: Reader::Prefilling })]
 #[case(Queued { name: "a single engine", engines: 1, queue: 0.6, reader: Reader::Decoding })]
-#[case(Queued { name: "none is usable any more", engines: 0, queue: 0.3, reader: Reader::Prefilling })]
-fn the_reader_by_how_many_prefill(#[case] case: Queued) {
+#[case(Queued { name: "no usable engine left", engines: 0, queue: 0.3, reader: Reader::Prefilling })]
+fn the_queue_limit_depends_on_the_number_of_prefill_engines(#[case] case: Queued) {
     let reader = Reader::choose(Kept::Nowhere, Some(case.queue), case.engines);
     assert_eq!(reader, case.reader, "{}", case.name);
 }
--- a/crates/coordination/tests/fold.rs
+++ b/crates/coordination/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the control stream: one order, one outcome, whatever comes.
+//! Fold of the control stream: all nodes reach the same state, despite duplicates and gaps.
 
 use crosslane_coordination::fold::{Error, State, Verdict};
 use crosslane_coordination::record::{Leave, Record};
@@ -59,14 +59,14 @@
 
 #[rstest]
 #[case(Case {
-    name: "of two with the same base the first counts, and the other is told",
+    name: "the first of two publications with the same base is applied, the other one loses",
     records: vec![publish("a", 0), publish("b", 0)],
     version: 1,
     accepted: false,
     verdicts: vec![("a", Verdict::Counted(Version(1))), ("b", Verdict::Lost(Version(1)))],
 })]
 #[case(Case {
-    name: "the same publication again changes nothing",
+    name: "a duplicate publication has no effect",
     records: vec![publish("a", 0), publish("a", 0), publish("a", 1)],
     version: 1,
     accepted: false,
@@ -80,14 +80,14 @@
     verdicts: vec![],
 })]
 #[case(Case {
-    name: "not accepted while one is missing",
+    name: "not accepted while a failure domain has not confirmed",
     records: vec![join(0, 1), join(1, 2), publish("a", 0), confirm(1, "Aarau")],
     version: 1,
     accepted: false,
     verdicts: vec![],
 })]
 #[case(Case {
-    name: "accepted when the missing domain has no member left",
+    name: "accepted once the unconfirmed domain has no members",
     records: vec![
         join(0, 1),
         join(1, 2),
@@ -100,7 +100,7 @@
     verdicts: vec![],
 })]
 #[case(Case {
-    name: "a withdrawn policy gives way under a higher version",
+    name: "a withdrawn policy is replaced under a higher version",
     records: vec![publish("a", 0), Record::Withdraw { publication: "a".into() }],
     version: 2,
     accepted: false,
@@ -119,7 +119,7 @@
     verdicts: vec![("a", Verdict::Counted(Version(1)))],
 })]
 #[case(Case {
-    name: "a confirmation of an old version does not count for the new one",
+    name: "a confirmation of an older version does not count for the newest",
     records: vec![join(0, 1), publish("a", 0), publish("b", 1), confirm(1, "Aarau")],
     version: 2,
     accepted: false,
@@ -135,41 +135,42 @@
 }
 
 #[rstest]
-fn a_new_start_on_a_vm_replaces_the_old_and_is_not_leaving() {
+fn a_new_incarnation_replaces_the_old_one_and_is_not_leaving() {
     let state = folded(&[join(0, 1), leave("l", "entry-0"), join(0, 5)]);
     assert_eq!(state.roster.len(), 1);
     assert!(state.roster.get(Incarnation(5)).is_some());
     assert!(state.leaving.is_empty());
-    // The announcement, arriving once more, holds for the old start only.
-    let again = folded(&[join(0, 1), leave("l", "entry-0"), join(0, 5), leave("l", "entry-0")]);
-    assert!(again.leaving.is_empty());
+    // A duplicate of the announcement applies only to the old incarnation.
+    let duplicated =
+        folded(&[join(0, 1), leave("l", "entry-0"), join(0, 5), leave("l", "entry-0")]);
+    assert!(duplicated.leaving.is_empty());
 }
 
 #[rstest]
-fn an_older_start_does_not_replace_a_newer() {
+fn an_older_incarnation_does_not_replace_a_newer_one() {
     let state = folded(&[join(0, 5), join(0, 1)]);
     assert!(state.roster.get(Incarnation(5)).is_some());
 }
 
 #[rstest]
-fn a_checkpoint_bridges_what_the_log_forgot() {
+fn a_checkpoint_replaces_truncated_records() {
     let before = [join(0, 1), publish("a", 0), confirm(1, "Aarau")];
     let whole = folded(&before);
     let checkpoint = Record::Checkpoint { state: Box::new(whole.clone()) };
-    let mut late = State::default();
+    let mut restored = State::default();
     assert_eq!(
-        late.fold(4, Some(publish("b", 1))),
+        restored.fold(4, Some(publish("b", 1))),
         Err(Error::Gap { expected: 0, found: 4 }),
-        "a gap is refused, not guessed over"
+        "a gap is an error"
     );
-    late.fold(3, Some(checkpoint.clone())).unwrap();
-    assert_eq!(late.next, 3, "reading goes on from the checkpoint's own offset");
+    restored.fold(3, Some(checkpoint.clone())).unwrap();
+    assert_eq!(restored.next, 3, "folding continues at the offset of the checkpoint");
     let mut other = whole;
-    for state in [&mut late, &mut other] {
+    for state in [&mut restored, &mut other] {
         state.fold(3, Some(checkpoint.clone())).unwrap();
         state.fold(4, Some(publish("b", 1))).unwrap();
     }
-    assert_eq!(late, other);
+    assert_eq!(restored, other);
 }
 
 fn any_record() -> impl Strategy<Value = Option<Record>> {
@@ -189,7 +190,7 @@
     ]
 }
 
-/// The same histories in every run.
+/// Fixed seed, so that every run plays the same histories.
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -197,7 +198,7 @@
 proptest! {
     #![proptest_config(config(2_000))]
 
-    /// One node reads everything once; another reads with repeats and starts from checkpoints.
+    /// One node reads each record once; another reads duplicates and restarts from serialized state.
     #[test]
     fn two_nodes_fold_alike(
         records in prop::collection::vec(any_record(), 1..60),
@@ -209,14 +210,14 @@
         let mut accepted = Version(0);
         for (offset, record) in records.iter().enumerate() {
             first.fold(offset as u64, record.clone()).unwrap();
-            prop_assert!(first.version() >= version, "versions never fall");
+            prop_assert!(first.version() >= version, "versions never decrease");
             version = first.version();
             for publication in &first.history {
                 if publication.accepted {
                     accepted = accepted.max(publication.version);
                 }
             }
-            prop_assert!(first.version() >= accepted, "an accepted version never reverts");
+            prop_assert!(first.version() >= accepted, "an accepted version is never reverted");
         }
         let mut second = State::default();
         for (offset, record) in records.iter().enumerate() {
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -1,8 +1,8 @@
-//! One key through any history of joins, leaves, departures and lost messages.
+//! Keyed requests under random histories of joins, leaves, departures and lost messages.
 //!
-//! Each node has its own, lagging view of one log. Requests advance one message at a time in
-//! an order that the test draws; messages are lost or late. Whatever the order, a request that
-//! may not be repeated is run at most once, and "not run" is never said of one that ran.
+//! Each node has its own, lagging view of a single log. Requests advance by one message at a time in
+//! a random order; messages are lost or delayed. In every history, a request that may not be repeated
+//! runs at most once, and a request that ran is never reported as not run.
 
 use crosslane_coordination::keyed::{Flow, Forwarded, Inquired, Step};
 use crosslane_coordination::ledger::{self, End};
@@ -53,7 +53,7 @@
     })
 }
 
-/// Where a request is, and what it waits for.
+/// Progress of a request.
 #[derive(Clone, Debug)]
 enum Stage {
     Decided(Step),
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Ask(usize, u64),
-    Advance(usize, Luck),
+    Advance(usize, Delivery),
     Join(u64),
     Leave(u64),
     Crash(u64),
@@ -82,47 +82,47 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Luck {
-    Good,
+enum Delivery {
+    Delivered,
     Lost,
-    Fails,
+    NotSent,
 }
 
-struct World {
+struct Cluster {
     nodes: BTreeMap<u64, Node>,
     log: Vec<Record>,
-    /// Claims in the order of the log: key and node.
+    /// Claims in log order: key and node.
     claims: Vec<(u64, u64)>,
-    read: BTreeMap<u64, usize>,
+    claims_read: BTreeMap<u64, usize>,
     requests: Vec<Request>,
     runs: BTreeMap<usize, u32>,
     now: Millis,
-    /// While the log is out nobody joins or departs, and claims are not in it.
+    /// During an outage of the log no node joins or departs, and claims are not logged.
     log_out: bool,
 }
 
-impl World {
+impl Cluster {
     fn new(log_out: bool) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             log_out: false,
             nodes: BTreeMap::new(),
             log: Vec::new(),
             claims: Vec::new(),
-            read: BTreeMap::new(),
+            claims_read: BTreeMap::new(),
             requests: Vec::new(),
             runs: BTreeMap::new(),
             now: Millis(1_000),
         };
         for number in 1..=3 {
-            world.join(number);
+            cluster.join(number);
         }
-        (1..=3).for_each(|number| world.read(number));
-        world.log_out = log_out;
-        world
+        (1..=3).for_each(|number| cluster.read(number));
+        cluster.log_out = log_out;
+        cluster
     }
 
     fn join(&mut self, number: u64) {
-        if self.log_out || self.read.contains_key(&number) {
+        if self.log_out || self.claims_read.contains_key(&number) {
             return;
         }
         let address = ([127, 0, 0, 1], 9).into();
@@ -139,12 +139,12 @@
         self.read(number);
     }
 
-    /// Folds the whole log, claims included, at a node.
+    /// Makes a node fold the whole log, including the claims.
     fn read(&mut self, number: u64) {
         let Some(node) = self.nodes.get_mut(&number) else {
             return;
         };
-        let read = self.read.entry(number).or_default();
+        let read = self.claims_read.entry(number).or_default();
         for (offset, record) in self.log.iter().enumerate() {
             node.state.fold(offset as u64, Some(record.clone())).unwrap();
         }
@@ -158,10 +158,10 @@
         }
     }
 
-    fn ask(&mut self, key_number: usize, at: u64, outer: Option<usize>) {
+    fn ask(&mut self, key_number: usize, at: u64, forwarded_from: Option<usize>) {
         let mut flow = Flow::new(key(key_number), FINGERPRINT, false);
-        if let Some(outer) = outer {
-            flow = flow.forwarded_past(self.requests[outer].flow.forwards().to_vec());
+        if let Some(forwarded_from) = forwarded_from {
+            flow = flow.forwarded_past(self.requests[forwarded_from].flow.forwards().to_vec());
         }
         let Some(node) = self.nodes.get_mut(&at) else {
             return;
@@ -171,17 +171,17 @@
         self.requests.push(Request { key: key_number, at, flow, stage, ended: false });
     }
 
-    fn advance(&mut self, place: usize, luck: Luck) {
-        let Some(mut request) = self.requests.get(place).cloned() else {
+    fn advance(&mut self, index: usize, delivery: Delivery) {
+        let Some(mut request) = self.requests.get(index).cloned() else {
             return;
         };
         if request.ended || !self.nodes.contains_key(&request.at) {
             return;
         }
         match request.stage.clone() {
-            Stage::Decided(step) => self.step(place, &mut request, step, luck),
+            Stage::Decided(step) => self.step(index, &mut request, step, delivery),
             Stage::Claiming => {
-                // The claim is read back: the first one of a key stands.
+                // The claim is read back from the log: the first one on a key wins.
                 self.read_claims(request.at);
                 let node = &self.nodes[&request.at];
                 if node.claims.by_other(key(request.key).hash(), Incarnation(request.at)) {
@@ -190,7 +190,9 @@
                     request.stage = Stage::Running;
                 }
             }
-            Stage::Running if luck == Luck::Fails => self.finish(&mut request, End::NotRun),
+            Stage::Running if delivery == Delivery::NotSent => {
+                self.finish(&mut request, End::NotRun)
+            }
             Stage::Running => {
                 *self.runs.entry(request.key).or_default() += 1;
                 let answer = Answer {
@@ -198,26 +200,26 @@
                     content_type: "text/plain".to_owned(),
                     pieces: vec![b"done".to_vec()],
                 };
-                let lost = luck == Luck::Lost;
+                let lost = delivery == Delivery::Lost;
                 let end = if lost { End::Unknown } else { End::Done(Arc::new(answer)) };
                 self.finish(&mut request, end);
             }
         }
-        self.requests[place] = request;
+        self.requests[index] = request;
     }
 
-    fn step(&mut self, place: usize, request: &mut Request, step: Step, luck: Luck) {
+    fn step(&mut self, index: usize, request: &mut Request, step: Step, delivery: Delivery) {
         let now = self.now;
         match step {
             Step::Inquire(other) => {
                 let by = Incarnation(request.at);
                 let name = key(request.key);
-                // The other node may do what is asked and its reply be lost.
+                // The other node may release the key while its reply is lost.
                 let reply =
                     self.nodes.get_mut(&other.0).map(|node| node.ledger.release(&name, by, now));
                 let inquired = match reply {
-                    Some(true) if luck == Luck::Good => Inquired::Free,
-                    Some(false) if luck == Luck::Good => Inquired::Known,
+                    Some(true) if delivery == Delivery::Delivered => Inquired::Free,
+                    Some(false) if delivery == Delivery::Delivered => Inquired::Known,
                     _ => Inquired::Silent,
                 };
                 let node = self.nodes.get_mut(&request.at).unwrap();
@@ -225,10 +227,12 @@
                 let inquired = if gone { Inquired::Free } else { inquired };
                 request.stage = Stage::Decided(request.flow.inquired(other, inquired, node, now));
             }
-            Step::Forward(owner) if luck == Luck::Good && self.nodes.contains_key(&owner.0) => {
-                self.ask(request.key, owner.0, Some(place));
-                let inner = self.requests.len() - 1;
-                if let Stage::Decided(Step::Name(named)) = self.requests[inner].stage {
+            Step::Forward(owner)
+                if delivery == Delivery::Delivered && self.nodes.contains_key(&owner.0) =>
+            {
+                self.ask(request.key, owner.0, Some(index));
+                let forwarded_request = self.requests.len() - 1;
+                if let Stage::Decided(Step::Name(named)) = self.requests[forwarded_request].stage {
                     let node = self.nodes.get_mut(&request.at).unwrap();
                     let forwarded = Forwarded::Named(named);
                     let step = request.flow.forwarded(owner, forwarded, node, now);
@@ -245,7 +249,7 @@
             Step::Run => {
                 if self.log_out {
                     request.stage = Stage::Running;
-                } else if luck == Luck::Good {
+                } else if delivery == Delivery::Delivered {
                     self.claims.push((key(request.key).hash(), request.at));
                     request.stage = Stage::Claiming;
                 } else {
@@ -256,12 +260,12 @@
         }
     }
 
-    /// A node hears the announcements that the others know.
+    /// Sends a node the leave announcements known to the other nodes.
     fn gossip(&mut self, number: u64) {
-        let told: Vec<Leave> =
+        let leaves: Vec<Leave> =
             self.nodes.values().flat_map(|node| node.told().cloned().collect::<Vec<_>>()).collect();
         if let Some(node) = self.nodes.get_mut(&number) {
-            told.into_iter().for_each(|leave| {
+            leaves.into_iter().for_each(|leave| {
                 node.tell(leave);
             });
         }
@@ -269,7 +273,7 @@
 
     fn read_claims(&mut self, number: u64) {
         let node = self.nodes.get_mut(&number).unwrap();
-        let read = self.read.entry(number).or_default();
+        let read = self.claims_read.entry(number).or_default();
         for (key, by) in &self.claims[*read..] {
             node.claims.claim(*key, Incarnation(*by), self.now);
         }
@@ -282,7 +286,7 @@
         request.ended = true;
     }
 
-    /// A node hands its endings over and departs, once nothing runs there.
+    /// Makes a node hand over its ledger and depart, if nothing is running there.
     fn depart(&mut self, number: u64) {
         if self.log_out {
             return;
@@ -299,10 +303,10 @@
             else {
                 return;
             };
-            let Some(heir) = self.nodes.get_mut(&next) else {
+            let Some(successor) = self.nodes.get_mut(&next) else {
                 return;
             };
-            heir.ledger.adopt(&key, fingerprint, answer, self.now);
+            successor.ledger.adopt(&key, fingerprint, answer, self.now);
         }
         self.nodes.remove(&number);
         self.log.push(Record::Depart { incarnation: Incarnation(number), released: true });
@@ -312,11 +316,11 @@
         self.now = self.now + 10;
         match event {
             Event::Ask(key, at) => self.ask(key, at, None),
-            Event::Advance(place, luck) => {
+            Event::Advance(index, delivery) => {
                 let open: Vec<_> =
                     (0..self.requests.len()).filter(|index| !self.requests[*index].ended).collect();
                 if !open.is_empty() {
-                    self.advance(open[place % open.len()], luck);
+                    self.advance(open[index % open.len()], delivery);
                 }
             }
             Event::Join(number) => self.join(number),
@@ -350,10 +354,10 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let luck = || prop_oneof![6 => Just(Luck::Good), 1 => Just(Luck::Lost), 1 => Just(Luck::Fails)];
+    let delivery = || prop_oneof![6 => Just(Delivery::Delivered), 1 => Just(Delivery::Lost), 1 => Just(Delivery::NotSent)];
     prop_oneof![
         6 => (0..KEYS, 1..=NODES).prop_map(|(key, at)| Event::Ask(key, at)),
-        14 => (0..20usize, luck()).prop_map(|(place, luck)| Event::Advance(place, luck)),
+        14 => (0..20usize, delivery()).prop_map(|(index, delivery)| Event::Advance(index, delivery)),
         1 => (1..=NODES).prop_map(Event::Join),
         1 => (1..=NODES).prop_map(Event::Leave),
         1 => (1..=NODES).prop_map(Event::Crash),
@@ -362,7 +366,7 @@
     ]
 }
 
-/// The same histories in every run.
+/// Fixed seed, so that every run plays the same histories.
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -375,10 +379,10 @@
         events in prop::collection::vec(event(), 1..150),
         log_out in any::<bool>(),
     ) {
-        let mut world = World::new(log_out);
+        let mut cluster = Cluster::new(log_out);
         for event in events {
-            world.play(event);
-            prop_assert!(world.runs.values().all(|runs| *runs <= 1), "{:?}", world.runs);
+            cluster.play(event);
+            prop_assert!(cluster.runs.values().all(|runs| *runs <= 1), "{:?}", cluster.runs);
         }
     }
 }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: bounds, and what is said once they have been reached.
+//! Ledger of idempotency records: its bounds, and the answers once they are reached.
 
 use crosslane_coordination::ledger::{Begin, End, Ledger, Limits};
 use crosslane_state::answer::Answer;
@@ -22,55 +22,55 @@
     Arc::new(Answer { status: 200, content_type, pieces: vec![vec![b'x'; bytes]] })
 }
 
-fn done(ledger: &mut Ledger, number: u64, bytes: usize, repeatable: bool) {
+fn complete(ledger: &mut Ledger, number: u64, bytes: usize, repeatable: bool) {
     assert_eq!(ledger.begin(&key(number), FINGERPRINT, repeatable, NOW), Begin::Run);
     ledger.finish(&key(number), End::Done(answer(bytes)), NOW);
 }
 
-struct Dropped {
+struct Eviction {
     name: &'static str,
     bytes: usize,
-    further: u64,
-    later: u64,
+    more_requests: u64,
+    elapsed_ms: u64,
     begin: Begin,
 }
 
 #[rstest]
-#[case(Dropped {
-    name: "kept", bytes: 10, further: 1, later: 10, begin: Begin::Replay(answer(10)),
+#[case(Eviction {
+    name: "within the bounds", bytes: 10, more_requests: 1, elapsed_ms: 10, begin: Begin::Replay(answer(10)),
 })]
-#[case(Dropped { name: "over the count", bytes: 10, further: 2, later: 10, begin: Begin::Unknown })]
-#[case(Dropped { name: "over the bytes", bytes: 60, further: 1, later: 10, begin: Begin::Unknown })]
-#[case(Dropped { name: "over its age", bytes: 10, further: 0, later: 1_000, begin: Begin::Unknown })]
-#[case(Dropped { name: "after the window", bytes: 10, further: 0, later: 12_000, begin: Begin::Run })]
-fn a_dropped_answer_is_unknown_for_the_rest_of_the_window(#[case] case: Dropped) {
+#[case(Eviction { name: "over the count limit", bytes: 10, more_requests: 2, elapsed_ms: 10, begin: Begin::Unknown })]
+#[case(Eviction { name: "over the byte limit", bytes: 60, more_requests: 1, elapsed_ms: 10, begin: Begin::Unknown })]
+#[case(Eviction { name: "over the age limit", bytes: 10, more_requests: 0, elapsed_ms: 1_000, begin: Begin::Unknown })]
+#[case(Eviction { name: "after the window", bytes: 10, more_requests: 0, elapsed_ms: 12_000, begin: Begin::Run })]
+fn an_evicted_answer_is_unknown_for_the_rest_of_the_window(#[case] case: Eviction) {
     let mut ledger = Ledger::new(LIMITS);
-    for number in 0..=case.further {
-        done(&mut ledger, number, case.bytes, false);
+    for number in 0..=case.more_requests {
+        complete(&mut ledger, number, case.bytes, false);
     }
-    ledger.trim(NOW + case.later.min(1_000));
-    ledger.trim(NOW + case.later);
-    let begin = ledger.begin(&key(0), FINGERPRINT, false, NOW + case.later);
+    ledger.trim(NOW + case.elapsed_ms.min(1_000));
+    ledger.trim(NOW + case.elapsed_ms);
+    let begin = ledger.begin(&key(0), FINGERPRINT, false, NOW + case.elapsed_ms);
     assert_eq!(begin, case.begin, "{}", case.name);
 }
 
 #[rstest]
-fn a_full_ledger_refuses_what_may_not_be_repeated_and_forgets_what_may() {
+fn a_full_ledger_refuses_unrepeatable_requests_and_forgets_repeatable_ones() {
     let mut ledger = Ledger::new(LIMITS);
     for number in 0..4 {
-        done(&mut ledger, number, 10, false);
+        complete(&mut ledger, number, 10, false);
     }
     assert_eq!(ledger.begin(&key(9), FINGERPRINT, false, NOW), Begin::Full);
     for number in 10..20 {
-        done(&mut ledger, number, 10, true);
+        complete(&mut ledger, number, 10, true);
     }
-    assert_eq!(ledger.len(), 6, "two answers, and a tombstone for each that may not be repeated");
+    assert_eq!(ledger.len(), 6, "two answers and a tombstone for each unrepeatable request");
     assert_eq!(ledger.begin(&key(0), FINGERPRINT, false, NOW), Begin::Unknown);
     assert_eq!(ledger.begin(&key(10), FINGERPRINT, true, NOW), Begin::Run);
     assert_eq!(ledger.bytes(), 20);
 }
 
-struct Ended {
+struct Ending {
     name: &'static str,
     repeatable: bool,
     end: End,
@@ -78,25 +78,25 @@
 }
 
 #[rstest]
-#[case(Ended {
-    name: "not run: it may be run",
+#[case(Ending {
+    name: "not run: may be run",
     repeatable: false,
     end: End::NotRun,
     begin: Begin::Run,
 })]
-#[case(Ended {
+#[case(Ending {
     name: "unknown: not run again",
     repeatable: false,
     end: End::Unknown,
     begin: Begin::Unknown,
 })]
-#[case(Ended {
-    name: "unknown, but it may be repeated",
+#[case(Ending {
+    name: "unknown, but repeatable: may be run again",
     repeatable: true,
     end: End::Unknown,
     begin: Begin::Run,
 })]
-fn after_an_ending(#[case] case: Ended) {
+fn begin_after_a_run_ended(#[case] case: Ending) {
     let mut ledger = Ledger::new(LIMITS);
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, case.repeatable, NOW), Begin::Run);
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, case.repeatable, NOW), Begin::Join);
@@ -107,33 +107,33 @@
 }
 
 #[rstest]
-fn a_key_is_given_up_only_while_nothing_is_known() {
+fn a_key_is_released_only_while_it_is_unknown() {
     let (other, third) = (Incarnation(2), Incarnation(3));
     let mut ledger = Ledger::new(LIMITS);
     assert!(ledger.release(&key(1), other, NOW));
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Moved(other));
     let before = ledger.releases();
-    assert!(ledger.release(&key(1), third, NOW), "and to another, if it was not run");
+    assert!(ledger.release(&key(1), third, NOW), "released to another node, as it was not run");
     ledger.reclaim(&key(1), before, |node| node == third);
     assert_eq!(
         ledger.begin(&key(1), FINGERPRINT, false, NOW),
         Begin::Moved(third),
-        "given up since"
+        "a release after the mark stays"
     );
     ledger.reclaim(&key(1), ledger.releases(), |node| node == third);
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Run);
-    assert!(!ledger.release(&key(1), other, NOW), "it runs");
+    assert!(!ledger.release(&key(1), other, NOW), "it is running");
 }
 
 #[rstest]
-fn what_is_handed_over_is_answered_by_the_heir() {
-    let (mut ledger, mut heir) = (Ledger::new(LIMITS), Ledger::new(LIMITS));
-    done(&mut ledger, 1, 10, false);
+fn the_successor_answers_for_records_handed_over() {
+    let (mut ledger, mut successor) = (Ledger::new(LIMITS), Ledger::new(LIMITS));
+    complete(&mut ledger, 1, 10, false);
     ledger.begin(&key(2), FINGERPRINT, false, NOW);
     ledger.finish(&key(2), End::Unknown, NOW);
     for (key, fingerprint, answer) in ledger.handover() {
-        heir.adopt(&key, fingerprint, answer, NOW);
+        successor.adopt(&key, fingerprint, answer, NOW);
     }
-    assert_eq!(heir.begin(&key(1), FINGERPRINT, false, NOW), Begin::Replay(answer(10)));
-    assert_eq!(heir.begin(&key(2), FINGERPRINT, false, NOW), Begin::Unknown);
+    assert_eq!(successor.begin(&key(1), FINGERPRINT, false, NOW), Begin::Replay(answer(10)));
+    assert_eq!(successor.begin(&key(2), FINGERPRINT, false, NOW), Begin::Unknown);
 }
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Admission under overload: more worth than first come, first served, by replay of the loads.
+//! Admission under overload, in a replay of load patterns: answers are worth more in total than with
+//! first come, first served.
 
 mod replay;
 
@@ -9,13 +10,13 @@
 /// Seeds over which a case is averaged.
 const SEEDS: u64 = 20;
 
-/// Everyone waits for the same short time, up to a full engine.
+/// All callers wait for the same short time, up to a full engine.
 fn first_come(_: &Caller) -> Terms {
     Terms { full: 1.0, wait: 216 }
 }
 
-/// Everyone waits as long as callers bear silence, up to a full engine.
-fn patient(_: &Caller) -> Terms {
+/// All callers wait until shortly before their silence timeout, up to a full engine.
+fn long_wait(_: &Caller) -> Terms {
     Terms { full: 1.0, wait: 2_880 }
 }
 
@@ -31,10 +32,10 @@
     name: &'static str,
     load: Load,
     other: replay::Rule,
-    /// Least gain in mean worth over the other rule.
-    gain: f64,
-    /// Most streams lost, as a share of those lost under the other rule, where that matters.
-    lost: Option<f64>,
+    /// Smallest gain in mean worth over the other rule.
+    min_gain: f64,
+    /// Most lost streams as a share of those lost with the other rule, if checked.
+    max_lost: Option<f64>,
 }
 
 #[rstest]
@@ -42,43 +43,49 @@
     name: "bursts, against short waits for all",
     load: BURSTS,
     other: first_come,
-    gain: 0.03,
-    lost: Some(0.5),
+    min_gain: 0.03,
+    max_lost: Some(0.5),
 })]
 #[case(Case {
     name: "bursts, against long waits for all",
     load: BURSTS,
-    other: patient,
-    gain: 0.05,
-    lost: None,
+    other: long_wait,
+    min_gain: 0.05,
+    max_lost: None,
 })]
 #[case(Case {
-    name: "bursts while two engines are gone, against long waits for all",
+    name: "bursts while two engines are down, against long waits for all",
     load: Load { engines: 4, rate: 7.5, ..BURSTS },
-    other: patient,
-    gain: 0.1,
-    lost: None,
+    other: long_wait,
+    min_gain: 0.1,
+    max_lost: None,
 })]
 #[case(Case {
-    name: "all streams cut, against short waits for all",
+    name: "all streams interrupted, against short waits for all",
     load: Load { bursts: &[], cut: Some(20_000), ..BURSTS },
     other: first_come,
-    gain: 0.01,
-    lost: Some(0.3),
+    min_gain: 0.01,
+    max_lost: Some(0.3),
 })]
 fn worth(#[case] case: Case) {
-    let (mut ours, mut theirs, mut lost) = (0.0, 0.0, (0, 0));
+    let (mut tested_worth, mut baseline_worth, mut lost) = (0.0, 0.0, (0, 0));
     for seed in 0..SEEDS {
-        let here = play(case.load, admission, seed);
-        let there = play(case.load, case.other, seed);
-        ours += here.worth / SEEDS as f64;
-        theirs += there.worth / SEEDS as f64;
-        lost = (lost.0 + here.lost, lost.1 + there.lost);
+        let tested = play(case.load, admission, seed);
+        let baseline = play(case.load, case.other, seed);
+        tested_worth += tested.worth / SEEDS as f64;
+        baseline_worth += baseline.worth / SEEDS as f64;
+        lost = (lost.0 + tested.lost, lost.1 + baseline.lost);
     }
     let name = case.name;
-    println!("{name}: worth {ours:.3} against {theirs:.3}, lost {} against {}", lost.0, lost.1);
-    assert!(ours >= theirs + case.gain, "{name}: {ours:.3} against {theirs:.3}");
-    if let Some(share) = case.lost {
+    println!(
+        "{name}: worth {tested_worth:.3} against {baseline_worth:.3}, lost {} against {}",
+        lost.0, lost.1
+    );
+    assert!(
+        tested_worth >= baseline_worth + case.min_gain,
+        "{name}: {tested_worth:.3} against {baseline_worth:.3}"
+    );
+    if let Some(share) = case.max_lost {
         assert!(lost.0 as f64 <= share * lost.1 as f64, "{name}: {lost:?}");
     }
 }
--- a/crates/coordination/tests/pool.rs
+++ b/crates/coordination/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Pool: which endpoints may be used, and which is chosen.
+//! Pool of endpoints: which of them are usable, and which one is chosen.
 
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::connections;
@@ -14,7 +14,7 @@
 const SERVICE: &str = "reply";
 const CAPACITY: u64 = 50_000;
 
-/// A request for any decoding engine.
+/// A query for any decode engine.
 const QUERY: Query<'static> = Query {
     service: SERVICE,
     stage: Stage::Decode,
@@ -24,10 +24,10 @@
     except: &[],
 };
 
-/// When the endpoints started, in milliseconds of Unix time.
+/// Start time of the endpoints, in milliseconds since the Unix epoch.
 const BORN: u64 = 1_800_000_000_000;
 
-/// Until when what others tell counts, where it does to the test's end.
+/// Expiry of peer reports that stay valid until the end of the test.
 const UNTIL: Millis = Millis(60_000);
 
 fn tag(id: &str) -> Tag {
@@ -58,7 +58,7 @@
     pool.get(key).map(|endpoint| endpoint.id.clone())
 }
 
-struct Lapse {
+struct Missing {
     name: &'static str,
     lenient: bool,
     after: u64,
@@ -66,10 +66,10 @@
 }
 
 #[rstest]
-#[case(Lapse { name: "left while the store was well", lenient: false, after: 0, kept: false })]
-#[case(Lapse { name: "lapsed with the store", lenient: true, after: 1_000, kept: true })]
-#[case(Lapse { name: "did not come back", lenient: true, after: 1_500, kept: false })]
-fn records_that_go(#[case] case: Lapse) {
+#[case(Missing { name: "left while the store was up", lenient: false, after: 0, kept: false })]
+#[case(Missing { name: "lapsed during a store outage", lenient: true, after: 1_000, kept: true })]
+#[case(Missing { name: "did not return", lenient: true, after: 1_500, kept: false })]
+fn endpoints_missing_from_the_list(#[case] case: Missing) {
     let mut pool = pool(&["a"]);
     pool.replace(Vec::new(), case.lenient, Millis(10_000));
     pool.expire(Millis(10_000 + case.after));
@@ -87,14 +87,14 @@
 }
 
 #[rstest]
-fn leaving_endpoints_are_not_chosen() {
+fn draining_endpoints_are_not_chosen() {
     let mut pool = pool(&["a"]);
     pool.replace(vec![endpoint("a", true)], false, Millis(1));
     assert_eq!(chosen(&mut pool, 1), None);
 }
 
 #[rstest]
-fn what_others_have_at_an_endpoint_counts_until_they_are_silent() {
+fn usage_of_a_peer_counts_until_its_report_expires() {
     let mut pool = pool(&["a", "b"]);
     let usage = Usage { requests: 5, tokens: 40_000, outcomes: Record::default() };
     pool.hear(Tag(7), vec![(tag("a"), usage)], Millis(2_000));
@@ -106,19 +106,19 @@
 }
 
 #[rstest]
-fn failures_are_avoided_and_forgotten() {
+fn endpoints_with_failures_are_avoided_until_the_failures_decay() {
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
-    let bad = pool.get(key).unwrap().id.clone();
+    let failed = pool.get(key).unwrap().id.clone();
     pool.note(key, Outcome::Failed, Millis(0));
     for _ in 0..50 {
-        assert_ne!(chosen(&mut pool, 100).unwrap(), bad);
+        assert_ne!(chosen(&mut pool, 100).unwrap(), failed);
     }
-    assert!((0..50).any(|_| chosen(&mut pool, 30_000).unwrap() == bad));
+    assert!((0..50).any(|_| chosen(&mut pool, 30_000).unwrap() == failed));
 }
 
 #[rstest]
-fn requests_are_counted_until_they_leave() {
+fn requests_are_counted_until_they_end() {
     let mut pool = pool(&["a"]);
     let (key, empty) = pool.choose(QUERY, Millis(0)).unwrap();
     pool.enter(key, 50_000);
@@ -130,38 +130,41 @@
 }
 
 #[rstest]
-fn failures_are_not_load() {
+fn failures_do_not_count_as_utilization() {
     let mut pool = pool(&["a"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     pool.note(key, Outcome::Failed, Millis(0));
-    let told = vec![(
+    let reported = vec![(
         tag("a"),
         Usage { outcomes: Record { failures: 3.0, successes: 0.0 }, ..Usage::default() },
     )];
-    (0..8).for_each(|peer| pool.hear(Tag(peer), told.clone(), UNTIL));
+    (0..8).for_each(|peer| pool.hear(Tag(peer), reported.clone(), UNTIL));
     let (_, load) = pool.choose(QUERY, Millis(0)).unwrap();
-    assert!(load < 0.1, "an idle engine that failed is believed to be {load} full");
+    assert!(load < 0.1, "an idle engine that failed has a utilization of {load}");
 }
 
 #[rstest]
-fn an_update_counts_at_once_and_until_the_next_heartbeat() {
+fn a_usage_delta_counts_at_once_and_until_the_next_full_report() {
     let mut pool = pool(&["a", "b"]);
     let usage = Usage { requests: 1, tokens: 40_000, outcomes: Record::default() };
     pool.update(Tag(7), &[(tag("a"), usage)]);
-    assert!((0..50).any(|_| chosen(&mut pool, 100).unwrap() == "a"), "not heard yet");
+    assert!((0..50).any(|_| chosen(&mut pool, 100).unwrap() == "a"), "no full report yet");
     pool.hear(Tag(7), Vec::new(), UNTIL);
     pool.update(Tag(7), &[(tag("a"), usage)]);
     pool.update(Tag(7), &[(tag("a"), usage)]);
-    assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "b"), "told");
+    assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "b"), "usage reported");
     pool.update(Tag(7), &[(tag("a"), Usage::default())]);
     pool.update(Tag(7), &[(tag("b"), usage)]);
-    assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "a"), "left again");
+    assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "a"), "usage ended");
     pool.hear(Tag(7), Vec::new(), UNTIL);
-    assert!((0..50).any(|_| chosen(&mut pool, 200).unwrap() == "b"), "a heartbeat goes before");
+    assert!(
+        (0..50).any(|_| chosen(&mut pool, 200).unwrap() == "b"),
+        "a full report replaces deltas"
+    );
 }
 
 #[rstest]
-fn what_changed_is_told_once() {
+fn changed_usage_is_reported_once() {
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     pool.enter(key, 5_000);
@@ -178,17 +181,17 @@
 
 struct Spread {
     name: &'static str,
-    /// Tokens at each engine of the own failure domain.
-    near: u32,
+    /// Tokens in use at each engine of the own failure domain.
+    used: u32,
     domain: &'static str,
 }
 
-/// Among many engines those of the own failure domain come first, while they have room.
+/// In a large pool, engines of the own failure domain are preferred while they have room.
 #[rstest]
-#[case(Spread { name: "idle", near: 0, domain: "aarau" })]
-#[case(Spread { name: "one draft each", near: 5_000, domain: "aarau" })]
-#[case(Spread { name: "three drafts each", near: 15_000, domain: "olten" })]
-fn the_own_failure_domain_first_among_many(#[case] case: Spread) {
+#[case(Spread { name: "idle", used: 0, domain: "aarau" })]
+#[case(Spread { name: "one request each", used: 5_000, domain: "aarau" })]
+#[case(Spread { name: "three requests each", used: 15_000, domain: "olten" })]
+fn a_large_pool_prefers_the_own_failure_domain(#[case] case: Spread) {
     let mut pool = Pool::new("aarau".into(), SmallRng::seed_from_u64(1));
     let domain = |place: usize| if place < 20 { "aarau" } else { "olten" };
     let engines = (0..40).map(|place| Endpoint {
@@ -196,8 +199,8 @@
         ..endpoint(&format!("e{place}"), false)
     });
     pool.replace(engines.collect(), false, Millis(0));
-    let told = (0..20).map(|place| (tag(&format!("e{place}")), usage(1, case.near)));
-    pool.hear(Tag(7), told.collect(), UNTIL);
+    let reported = (0..20).map(|place| (tag(&format!("e{place}")), usage(1, case.used)));
+    pool.hear(Tag(7), reported.collect(), UNTIL);
     for _ in 0..50 {
         let id = chosen(&mut pool, 100).unwrap();
         let place: usize = id[1..].parse().unwrap();
@@ -205,43 +208,43 @@
     }
 }
 
-struct Doubt {
+struct Failures {
     name: &'static str,
-    /// Failures and successes that each of eight other nodes tells of the one engine.
-    told: (f32, f32),
-    /// Tokens that the other engine has.
-    other: u32,
+    /// Failures and successes that each of eight other nodes reports for one engine.
+    reported: (f32, f32),
+    /// Tokens in use at the other engine.
+    other_tokens: u32,
     avoided: bool,
 }
 
-/// A few failures among many successes must not drive all work to the other engines.
+/// A few failures among many successes must not move all work to the other engines.
 #[rstest]
-#[case(Doubt { name: "some fail", told: (0.6, 8.0), other: 15_000, avoided: false })]
-#[case(Doubt { name: "many fail", told: (3.0, 3.0), other: 15_000, avoided: true })]
-#[case(Doubt { name: "all fail", told: (0.6, 0.0), other: 49_000, avoided: true })]
-fn failures_weigh_against_successes(#[case] case: Doubt) {
+#[case(Failures { name: "some fail", reported: (0.6, 8.0), other_tokens: 15_000, avoided: false })]
+#[case(Failures { name: "many fail", reported: (3.0, 3.0), other_tokens: 15_000, avoided: true })]
+#[case(Failures { name: "all fail", reported: (0.6, 0.0), other_tokens: 49_000, avoided: true })]
+fn failures_weigh_against_successes(#[case] case: Failures) {
     let mut pool = pool(&["a", "b"]);
-    let (failures, successes) = case.told;
-    let told = Usage { outcomes: Record { failures, successes }, ..Usage::default() };
-    (0..8).for_each(|peer| pool.hear(Tag(peer), vec![(tag("a"), told)], UNTIL));
-    pool.hear(Tag(9), vec![(tag("b"), usage(1, case.other))], UNTIL);
+    let (failures, successes) = case.reported;
+    let reported = Usage { outcomes: Record { failures, successes }, ..Usage::default() };
+    (0..8).for_each(|peer| pool.hear(Tag(peer), vec![(tag("a"), reported)], UNTIL));
+    pool.hear(Tag(9), vec![(tag("b"), usage(1, case.other_tokens))], UNTIL);
     let avoided = (0..50).all(|_| chosen(&mut pool, 100).unwrap() == "b");
     assert_eq!(avoided, case.avoided, "{}", case.name);
 }
 
 #[rstest]
-fn successes_are_told_where_others_doubt() {
+fn successes_are_shared_where_others_report_failures() {
     let mut pool = pool(&["a"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     pool.note(key, Outcome::Good, Millis(0));
     assert!(pool.usage(Millis(0)).is_empty());
-    let doubt = Usage { outcomes: Record { failures: 0.6, successes: 0.0 }, ..Usage::default() };
-    pool.hear(Tag(7), vec![(tag("a"), doubt)], UNTIL);
+    let failing = Usage { outcomes: Record { failures: 0.6, successes: 0.0 }, ..Usage::default() };
+    pool.hear(Tag(7), vec![(tag("a"), failing)], UNTIL);
     assert_eq!(pool.usage(Millis(0))[0].1.outcomes, Record { failures: 0.0, successes: 1.0 });
 }
 
 #[rstest]
-fn an_engine_that_is_gone_is_avoided_at_once_whatever_went_before() {
+fn an_engine_that_is_down_is_avoided_at_once_despite_earlier_successes() {
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     let gone = pool.get(key).unwrap().id.clone();
@@ -253,17 +256,17 @@
 }
 
 #[rstest]
-fn an_engine_that_changes_its_stage_gets_no_work_until_it_has() {
+fn an_engine_gets_no_work_while_it_changes_its_stage() {
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
-    let changes = pool.get(key).unwrap().id.clone();
+    let changing = pool.get(key).unwrap().id.clone();
     pool.ordered(key, Stage::Prefill, Millis(0));
-    assert!((0..50).all(|_| chosen(&mut pool, 5_000).unwrap() != changes));
-    assert_eq!(pool.changing(Millis(100)), [(tag(&changes), Stage::Prefill)]);
-    let prefills = Endpoint { stage: Stage::Prefill, ..endpoint(&changes, false) };
-    let other = if changes == "a" { "b" } else { "a" };
+    assert!((0..50).all(|_| chosen(&mut pool, 5_000).unwrap() != changing));
+    assert_eq!(pool.changing(Millis(100)), [(tag(&changing), Stage::Prefill)]);
+    let prefills = Endpoint { stage: Stage::Prefill, ..endpoint(&changing, false) };
+    let other = if changing == "a" { "b" } else { "a" };
     pool.replace(vec![prefills, endpoint(other, false)], false, Millis(6_000));
-    assert!(pool.changing(Millis(6_000)).is_empty(), "it has the stage");
+    assert!(pool.changing(Millis(6_000)).is_empty(), "the order is carried out");
     let query = Query { stage: Stage::Prefill, ..QUERY };
     assert!(pool.choose(query, Millis(6_000)).is_some());
 }
@@ -271,29 +274,29 @@
 #[rstest]
 #[case(500, false)]
 #[case(2_500, true)]
-fn anothers_order_counts_while_it_is_told(#[case] after: u64, #[case] used: bool) {
+fn an_order_of_a_peer_counts_until_its_report_expires(#[case] after: u64, #[case] used: bool) {
     let mut pool = pool(&["a", "b"]);
     pool.hear_changing(&[(tag("a"), Stage::Prefill)], Millis(2_000));
-    assert!(pool.changing(Millis(0)).is_empty(), "not passed on");
+    assert!(pool.changing(Millis(0)).is_empty(), "not forwarded");
     assert_eq!((0..50).any(|_| chosen(&mut pool, after).unwrap() == "a"), used);
 }
 
-/// An engine that starts again under its id has nothing of what it had, whoever told of it.
+/// An engine that restarts under the same id must not inherit usage, health, or orders.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn another_birth_is_another_endpoint(#[case] lenient: bool) {
+fn a_restarted_engine_is_a_new_endpoint(#[case] lenient: bool) {
     let mut pool = pool(&["a", "b"]);
     pool.hear(Tag(7), vec![(tag("a"), usage(5, 40_000))], UNTIL);
     let former = pool.engines()[SERVICE].iter().find(|engine| engine.1.id == "a").unwrap().0;
     pool.enter(former, 5_000);
     pool.note(former, Outcome::Failed, Millis(0));
     pool.ordered(former, Stage::Prefill, Millis(0));
-    let again = Endpoint { born: BORN + 1, ..endpoint("a", false) };
-    pool.replace(vec![again, endpoint("b", false)], lenient, Millis(100));
-    assert_eq!(pool.len(), 2, "the former one is gone at once");
+    let restarted = Endpoint { born: BORN + 1, ..endpoint("a", false) };
+    pool.replace(vec![restarted, endpoint("b", false)], lenient, Millis(100));
+    assert_eq!(pool.len(), 2, "the former entry is removed at once");
     assert!(pool.get(former).is_none());
-    assert!(pool.changing(Millis(100)).is_empty(), "the order was the former one's");
+    assert!(pool.changing(Millis(100)).is_empty(), "the order was for the former engine");
     pool.leave(former, 5_000);
     pool.note(former, Outcome::Failed, Millis(100));
     pool.hear(Tag(8), vec![(tag("a"), usage(5, 40_000))], UNTIL);
@@ -301,28 +304,29 @@
     pool.hear(Tag(9), vec![(tag("b"), usage(1, 30_000))], UNTIL);
     let (key, load) = pool.choose(QUERY, Millis(100)).unwrap();
     assert_eq!((pool.get(key).unwrap().id.as_str(), load), ("a", 0.0));
-    assert!(pool.usage(Millis(100)).is_empty(), "nothing is told of it");
+    assert!(pool.usage(Millis(100)).is_empty(), "no usage is shared");
 }
 
 struct Placed {
     name: &'static str,
-    /// Tokens at each engine of the own failure domain, and of the other one.
-    taken: (u32, u32),
+    /// Tokens in use at each engine of the own failure domain and of the other one.
+    used: (u32, u32),
     /// Tokens that the request needs.
-    needs: u32,
-    /// Domain of the engine that is chosen, if one is.
+    needed: u32,
+    /// Domain of the chosen engine, or `None` if no engine is chosen.
     domain: Option<&'static str>,
 }
 
-/// A burst fills one failure domain's engines before another's.
+/// Bursts fill the engines of one failure domain before those of another. An engine without room must
+/// not be chosen, even if it is preferred.
 #[rstest]
-#[case(Placed { name: "room here", taken: (40_000, 38_000), needs: 10_000, domain: Some("aarau") })]
-#[case(Placed { name: "a little over full here", taken: (51_000, 43_500), needs: 6_000, domain: Some("olten") })]
-#[case(Placed { name: "too little room here", taken: (45_000, 39_000), needs: 10_000, domain: Some("olten") })]
-#[case(Placed { name: "enough for a smaller one", taken: (45_000, 45_000), needs: 5_000, domain: Some("aarau") })]
-#[case(Placed { name: "no room anywhere", taken: (45_000, 45_000), needs: 10_000, domain: None })]
-#[case(Placed { name: "larger than any estimate, but nothing runs", taken: (0, 0), needs: 60_000, domain: Some("aarau") })]
-fn the_engine_must_have_room(#[case] case: Placed) {
+#[case(Placed { name: "room in the own domain", used: (40_000, 38_000), needed: 10_000, domain: Some("aarau") })]
+#[case(Placed { name: "own domain slightly over capacity", used: (51_000, 43_500), needed: 6_000, domain: Some("olten") })]
+#[case(Placed { name: "too little room in the own domain", used: (45_000, 39_000), needed: 10_000, domain: Some("olten") })]
+#[case(Placed { name: "room for a smaller request", used: (45_000, 45_000), needed: 5_000, domain: Some("aarau") })]
+#[case(Placed { name: "no room anywhere", used: (45_000, 45_000), needed: 10_000, domain: None })]
+#[case(Placed { name: "larger than the capacity, but the engine is idle", used: (0, 0), needed: 60_000, domain: Some("aarau") })]
+fn an_engine_without_room_is_not_chosen(#[case] case: Placed) {
     let mut pool = Pool::new("aarau".into(), SmallRng::seed_from_u64(1));
     let domain = |place: usize| if place < 20 { "aarau" } else { "olten" };
     let engine = |place: usize| Endpoint {
@@ -330,12 +334,12 @@
         ..endpoint(&format!("e{place}"), false)
     };
     pool.replace((0..40).map(engine).collect(), false, Millis(0));
-    let told = (0..40).map(|place| {
-        let tokens = if place < 20 { case.taken.0 } else { case.taken.1 };
+    let reported = (0..40).map(|place| {
+        let tokens = if place < 20 { case.used.0 } else { case.used.1 };
         (tag(&format!("e{place}")), usage(u32::from(tokens > 0), tokens))
     });
-    pool.hear(Tag(7), told.collect(), UNTIL);
-    let room = Some(Room { tokens: case.needs, below: 1.0 });
+    pool.hear(Tag(7), reported.collect(), UNTIL);
+    let room = Some(Room { tokens: case.needed, below: 1.0 });
     let query = Query { connections: u32::MAX, room, ..QUERY };
     for _ in 0..50 {
         let chosen = pool.choose(query, Millis(100));
@@ -345,23 +349,23 @@
     }
 }
 
-struct Part {
+struct Share {
     cap: u32,
     nodes: usize,
-    part: u32,
+    share: u32,
 }
 
 #[rstest]
-#[case(Part { cap: 110, nodes: 8, part: 12 })]
-#[case(Part { cap: 410, nodes: 58, part: 6 })]
-#[case(Part { cap: 110, nodes: 780, part: 1 })]
-#[case(Part { cap: 0, nodes: 8, part: 1 })]
-fn connections_are_shared_out_among_nodes(#[case] case: Part) {
-    assert_eq!(connections::part(case.cap, case.nodes), case.part);
+#[case(Share { cap: 110, nodes: 8, share: 12 })]
+#[case(Share { cap: 410, nodes: 58, share: 6 })]
+#[case(Share { cap: 110, nodes: 780, share: 1 })]
+#[case(Share { cap: 0, nodes: 8, share: 1 })]
+fn the_connection_cap_is_divided_among_nodes(#[case] case: Share) {
+    assert_eq!(connections::part(case.cap, case.nodes), case.share);
 }
 
 #[rstest]
-fn an_endpoint_at_which_this_node_has_its_part_of_connections_is_not_chosen() {
+fn an_endpoint_at_the_connection_limit_is_not_chosen() {
     let mut pool = pool(&["a"]);
     let query = Query { connections: 2, ..QUERY };
     let (key, _) = pool.choose(query, Millis(0)).unwrap();
@@ -374,7 +378,7 @@
 }
 
 #[rstest]
-fn an_endpoint_whose_limit_has_no_room_is_left_alone_until_it_has() {
+fn a_throttled_endpoint_is_not_chosen_until_the_throttling_ends() {
     let mut pool = pool(&["a", "b"]);
     let keys = ["a", "b"].map(|id| pool.key(tag(id)).unwrap());
     pool.hold_back(keys[0], Millis(500));
@@ -390,7 +394,7 @@
 }
 
 #[rstest]
-fn an_endpoint_that_comes_back_from_need_does_not_get_all_that_comes_at_once() {
+fn an_endpoint_whose_limit_was_lifted_starts_slowly() {
     let mut pool = pool(&["a", "b"]);
     let key = pool.key(tag("b")).unwrap();
     pool.enter(key, (CAPACITY / 4) as u32);
--- a/crates/coordination/tests/program.rs
+++ b/crates/coordination/tests/program.rs
@@ -1,4 +1,4 @@
-//! Policy programs: bounded, and wrong ones told with line and column.
+//! Policy programs: they are bounded, and errors are reported with line and column.
 
 use crosslane_coordination::program::{DEFAULT, Error, Input, Program};
 use crosslane_state::request::{Class, Verdict};
@@ -40,7 +40,7 @@
 #[case("while true {}", 1)]
 #[case("let a = 1;\nloop { a += 1; }", 2)]
 #[case("fn f(n) { f(n + 1) }\nf(0)", 1)]
-fn syntax(#[case] program: &str, #[case] expected: usize) {
+fn syntax_errors_name_the_line(#[case] program: &str, #[case] expected: usize) {
     match Program::compile(program) {
         Err(Error::Syntax { line, column, .. }) => {
             assert_eq!(line, expected);
@@ -55,7 +55,7 @@
 #[case("#{ class: \"slow\", repeatable: true }", "class")]
 #[case("#{ class: \"quick\" }", "repeatable")]
 #[case("#{ class: \"quick\", repeatable: true, domains: 7 }", "domains")]
-fn result(#[case] program: &str, #[case] expected: &str) {
+fn invalid_results_name_the_field(#[case] program: &str, #[case] expected: &str) {
     match Program::check(program, &[Input::default()]) {
         Err(Error::Result { field, .. }) => assert_eq!(field, expected),
         other => panic!("{other:?}"),
@@ -65,12 +65,12 @@
 #[rstest]
 fn a_program_can_neither_run_long_nor_grow_large() {
     let steps = "s+=1;".repeat(12_000);
-    let long = format!("let s = 0; {steps} #{{ class: \"quick\", repeatable: true }}");
-    let longer = Program::compile(&" ".repeat(100_000));
-    assert!(matches!(longer, Err(Error::Long { bytes: 100_000 })));
-    let large = "let s = \"0123456789012345678901234567890123456789\"; s += s; s += s; s += s; \
+    let many_steps = format!("let s = 0; {steps} #{{ class: \"quick\", repeatable: true }}");
+    let too_long = Program::compile(&" ".repeat(100_000));
+    assert!(matches!(too_long, Err(Error::Long { bytes: 100_000 })));
+    let large_string = "let s = \"0123456789012345678901234567890123456789\"; s += s; s += s; s += s; \
                  s += s; s += s; s += s; s += s; #{ class: s, repeatable: true }";
-    for program in [long.as_str(), large] {
+    for program in [many_steps.as_str(), large_string] {
         let result = Program::check(program, &[Input::default()]);
         assert!(matches!(result, Err(Error::Run { .. })), "{result:?}");
     }
--- a/crates/coordination/tests/replay/mod.rs
+++ b/crates/coordination/tests/replay/mod.rs
@@ -1,49 +1,50 @@
-//! Replay of a load against the decisions, in virtual time.
+//! Simulation of a load on the admission decisions, in virtual time.
 //!
 //! Streams arrive, wait for decode memory, hold it while they generate, and are answered on time,
-//! late or not at all. A refused caller comes back once. All callers may be cut off at one moment and
-//! return together. Sizes, rates and waits are those of a small site: engines of 41,000 tokens,
-//! streams of 3,200 tokens read and 640 generated at 5.4 ms each.
+//! late or not at all. A refused caller retries once. All streams may be interrupted at one moment,
+//! after which their callers return together. Sizes, rates and waits are those of a small site:
+//! engines of 41,000 tokens, streams with a prompt of 3,200 tokens and 640 generated tokens at
+//! 5.4 ms each.
 
 use crosslane_coordination::admission::{Caller, Standing};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
 /// Step of virtual time, in milliseconds.
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 
-/// Target, in milliseconds.
-pub const TARGET: u64 = 900;
+/// Latency target of the first event, in milliseconds.
+pub const TARGET_MS: u64 = 900;
 
-/// Silence that callers bear, in milliseconds.
-pub const SILENCE: u64 = 3_600;
+/// Silence timeout of callers, in milliseconds.
+pub const SILENCE_MS: u64 = 3_600;
 
-/// Time that a caller waits in all, in milliseconds.
-const DEADLINE: u64 = 14_000;
+/// Total time that a caller waits, in milliseconds.
+const DEADLINE_MS: u64 = 14_000;
 
-/// Time from memory to the first event, in milliseconds.
-const FIRST: u64 = 250;
+/// Time from the grant of memory to the first event, in milliseconds.
+const FIRST_EVENT_MS: u64 = 250;
 
-const CAPACITY: u64 = 41_000;
-const PROMPT: u64 = 3_200;
-const MILLIS_A_TOKEN: f64 = 5.4;
+const CAPACITY_TOKENS: u64 = 41_000;
+const PROMPT_TOKENS: u64 = 3_200;
+const MS_PER_TOKEN: f64 = 5.4;
 
-/// Worth of a late answer, where one on time is worth 1.
-const LATE: f64 = 0.2;
+/// Worth of a late answer; one on time is worth 1.
+const LATE_WORTH: f64 = 0.2;
 
-/// What a request may do to get memory.
+/// Conditions under which a request gets memory.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Load above which an engine is not asked.
+    /// Utilization above which an engine is considered full.
     pub full: f64,
     /// Longest wait, in milliseconds.
     pub wait: u64,
 }
 
-/// Decides terms by what is known of a caller.
+/// Admission rule: the terms of a caller.
 pub type Rule = fn(&Caller) -> Terms;
 
-/// The decisions under test.
+/// The rule under test.
 pub fn admission(caller: &Caller) -> Terms {
     let standing = Standing::from(caller);
     Terms { full: standing.full(), wait: standing.wait(caller) }
@@ -52,19 +53,19 @@
 /// A load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Streams a second.
+    /// Streams per second.
     pub rate: f64,
-    /// Start, end and strength of bursts.
+    /// Bursts: start and end in milliseconds, and factor on the rate.
     pub bursts: &'static [(u64, u64, f64)],
-    /// When every stream is cut, and its caller returns at once 3.6 s later.
+    /// Time at which all streams are interrupted; their callers return 3.6 s later.
     pub cut: Option<u64>,
-    /// Decoding engines.
+    /// Number of decode engines.
     pub engines: usize,
-    /// Length, in milliseconds.
+    /// Duration, in milliseconds.
     pub length: u64,
 }
 
-/// What came of a load.
+/// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     /// Mean worth of a stream.
@@ -75,7 +76,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Away { until: u64 },
+    Absent { until: u64 },
     Waiting { since: u64 },
     Running { engine: usize, until: u64 },
     Done { worth: f64 },
@@ -83,32 +84,37 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Stream {
-    first: u64,
+    first_arrival: u64,
     tokens: u64,
-    returned: bool,
-    cut: bool,
+    retried: bool,
+    interrupted: bool,
     state: State,
 }
 
 impl Stream {
-    fn need(&self) -> u64 {
-        PROMPT + self.tokens
+    fn tokens_needed(&self) -> u64 {
+        PROMPT_TOKENS + self.tokens
     }
 
     fn caller(&self, since: u64) -> Caller {
-        Caller { target: TARGET, silence: SILENCE, spent: since - self.first, resumes: self.cut }
+        Caller {
+            target: TARGET_MS,
+            silence: SILENCE_MS,
+            spent: since - self.first_arrival,
+            resumes: self.interrupted,
+        }
     }
 }
 
-/// Plays a load under a rule.
+/// Simulates a load under a rule.
 pub fn play(load: Load, rule: Rule, seed: u64) -> Outcome {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut streams = arrivals(load, &mut random);
     let mut used = vec![0_u64; load.engines];
     let mut orphans = Vec::new();
-    for now in (0..load.length + DEADLINE).step_by(STEP as usize) {
+    for now in (0..load.length + DEADLINE_MS).step_by(STEP_MS as usize) {
         if load.cut == Some(now) {
-            orphans = cut(&mut streams, now);
+            orphans = interrupt(&mut streams, now);
         }
         for orphan in orphans.extract_if(.., |orphan| orphan.until <= now) {
             used[orphan.engine] -= orphan.tokens;
@@ -126,19 +132,25 @@
 
 fn arrivals(load: Load, random: &mut SmallRng) -> Vec<Stream> {
     let mut streams = Vec::new();
-    for now in (0..load.length).step_by(STEP as usize) {
+    for now in (0..load.length).step_by(STEP_MS as usize) {
         let burst = load.bursts.iter().find(|burst| (burst.0..burst.1).contains(&now));
         let rate = load.rate * burst.map_or(1.0, |found| found.2);
-        if random.random_bool(rate * STEP as f64 / 1_000.0) {
+        if random.random_bool(rate * STEP_MS as f64 / 1_000.0) {
             let tokens = random.random_range(100..1_180);
-            let state = State::Away { until: now };
-            streams.push(Stream { first: now, tokens, returned: false, cut: false, state });
+            let state = State::Absent { until: now };
+            streams.push(Stream {
+                first_arrival: now,
+                tokens,
+                retried: false,
+                interrupted: false,
+                state,
+            });
         }
     }
     streams
 }
 
-/// A run whose caller was cut off.
+/// A run whose caller was disconnected.
 #[derive(Clone, Copy, Debug)]
 struct Orphan {
     engine: usize,
@@ -146,15 +158,16 @@
     tokens: u64,
 }
 
-/// Cuts the streams that run; the engines, which nobody told, hold their memory until they end.
-fn cut(streams: &mut [Stream], now: u64) -> Vec<Orphan> {
+/// Interrupts all running streams. The engines are not notified and hold the memory until the runs
+/// end.
+fn interrupt(streams: &mut [Stream], now: u64) -> Vec<Orphan> {
     let mut orphans = Vec::new();
     for stream in streams {
         if let State::Running { engine, until } = stream.state {
-            orphans.push(Orphan { engine, until, tokens: stream.need() });
-            stream.cut = true;
-            stream.returned = true;
-            stream.state = State::Away { until: now + SILENCE };
+            orphans.push(Orphan { engine, until, tokens: stream.tokens_needed() });
+            stream.interrupted = true;
+            stream.retried = true;
+            stream.state = State::Absent { until: now + SILENCE_MS };
         }
     }
     orphans
@@ -162,25 +175,25 @@
 
 fn step(stream: &mut Stream, used: &mut [u64], rule: Rule, now: u64, random: &mut SmallRng) {
     match stream.state {
-        State::Away { until } if until <= now => stream.state = State::Waiting { since: now },
+        State::Absent { until } if until <= now => stream.state = State::Waiting { since: now },
         State::Waiting { since } => wait(stream, since, used, rule, now, random),
         State::Running { engine, until } if until <= now => {
-            used[engine] -= stream.need();
-            stream.state = State::Done { worth: if stream.late(until) { LATE } else { 1.0 } };
+            used[engine] -= stream.tokens_needed();
+            stream.state = State::Done { worth: if stream.late(until) { LATE_WORTH } else { 1.0 } };
         }
         _ => {}
     }
 }
 
 impl Stream {
-    /// Whether a run that ends then had its first event late.
+    /// Whether the first event of a run that ends at `end` was late.
     fn late(&self, end: u64) -> bool {
-        let granted = end - self.run();
-        self.cut || granted + FIRST > self.first + TARGET
+        let granted = end - self.run_ms();
+        self.interrupted || granted + FIRST_EVENT_MS > self.first_arrival + TARGET_MS
     }
 
-    fn run(&self) -> u64 {
-        FIRST + (self.tokens as f64 * MILLIS_A_TOKEN) as u64
+    fn run_ms(&self) -> u64 {
+        FIRST_EVENT_MS + (self.tokens as f64 * MS_PER_TOKEN) as u64
     }
 }
 
@@ -193,21 +206,22 @@
     random: &mut SmallRng,
 ) {
     let terms = rule(&stream.caller(since));
-    let asks = random.random_bool(STEP as f64 / 70.0);
-    let emptiest = (0..used.len()).min_by_key(|engine| used[*engine]);
-    if let Some(engine) = emptiest.filter(|_| asks) {
-        let load = used[engine] as f64 / CAPACITY as f64;
-        if load <= terms.full && used[engine] + stream.need() <= CAPACITY {
-            used[engine] += stream.need();
-            stream.state = State::Running { engine, until: now + stream.run() };
+    let polls = random.random_bool(STEP_MS as f64 / 70.0);
+    let least_loaded = (0..used.len()).min_by_key(|engine| used[*engine]);
+    if let Some(engine) = least_loaded.filter(|_| polls) {
+        let load = used[engine] as f64 / CAPACITY_TOKENS as f64;
+        if load <= terms.full && used[engine] + stream.tokens_needed() <= CAPACITY_TOKENS {
+            used[engine] += stream.tokens_needed();
+            stream.state = State::Running { engine, until: now + stream.run_ms() };
             return;
         }
     }
     if now - since < terms.wait {
         return;
     }
-    let back = now + random.random_range(2_000..4_400);
-    let again = !stream.returned && back < stream.first + DEADLINE;
-    stream.returned = true;
-    stream.state = if again { State::Away { until: back } } else { State::Done { worth: 0.0 } };
+    let retry_at = now + random.random_range(2_000..4_400);
+    let retries = !stream.retried && retry_at < stream.first_arrival + DEADLINE_MS;
+    stream.retried = true;
+    stream.state =
+        if retries { State::Absent { until: retry_at } } else { State::Done { worth: 0.0 } };
 }
--- a/crates/coordination/tests/slots.rs
+++ b/crates/coordination/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: who gets one, who waits, who is refused.
+//! Slots of a runner: which requests are granted one, queued, or refused.
 
 use crosslane_coordination::slots::{Allocator, Ask, Grant, Limits};
 use crosslane_state::attempt::Id;
@@ -11,7 +11,7 @@
 
 const NOW: Millis = Millis(1_000);
 
-/// Whether a grant came, whatever wait it tells.
+/// Whether a slot was granted, with any expected wait.
 fn is_granted(grant: Option<Grant>) -> bool {
     matches!(grant, Some(Grant::Granted { .. }))
 }
@@ -39,7 +39,7 @@
 
 struct Order {
     name: &'static str,
-    waiting: Vec<Ask>,
+    queued: Vec<Ask>,
     released_at: u64,
     first: u64,
 }
@@ -47,25 +47,25 @@
 #[rstest]
 #[case(Order {
     name: "quick before patient",
-    waiting: vec![ask(2), Ask { class: Class::Quick, ..ask(3) }],
+    queued: vec![ask(2), Ask { class: Class::Quick, ..ask(3) }],
     released_at: 10,
     first: 3,
 })]
 #[case(Order {
-    name: "an aged patient request counts as quick, and came first",
-    waiting: vec![ask(2), Ask { class: Class::Quick, patience: 20_000, ..ask(3) }],
+    name: "a patient request that waited long counts as quick and goes first",
+    queued: vec![ask(2), Ask { class: Class::Quick, patience: 20_000, ..ask(3) }],
     released_at: 6_000,
     first: 2,
 })]
 #[case(Order {
     name: "the earlier deadline first",
-    waiting: vec![Ask { patience: 9_000, ..ask(2) }, Ask { patience: 8_000, ..ask(3) }],
+    queued: vec![Ask { patience: 9_000, ..ask(2) }, Ask { patience: 8_000, ..ask(3) }],
     released_at: 10,
     first: 3,
 })]
 #[case(Order {
     name: "the organisation with fewer slots first",
-    waiting: vec![
+    queued: vec![
         Ask { organisation: Organisation(1), patience: 8_000, ..ask(2) },
         Ask { organisation: Organisation(7), patience: 9_000, ..ask(3) },
     ],
@@ -77,7 +77,7 @@
     let holder = |sequence| Ask { organisation: Organisation(1), ..ask(sequence) };
     assert!(is_granted(allocator.ask(holder(100), NOW)));
     assert!(is_granted(allocator.ask(holder(101), NOW)));
-    for waiting in &case.waiting {
+    for waiting in &case.queued {
         assert_eq!(allocator.ask(*waiting, NOW), None, "{}", case.name);
     }
     let granted = allocator.release(id(100), NOW + case.released_at);
@@ -89,34 +89,34 @@
     slots: u32,
     kv_tokens: u64,
     ask: Ask,
-    granted: Option<Grant>,
+    answer: Option<Grant>,
 }
 
 #[rstest]
-#[case(Admission { name: "free", slots: 2, kv_tokens: 0, ask: ask(2), granted: Some(Grant::Granted { start_in: 0, wait: 1_000 }) })]
-#[case(Admission { name: "full, in time", slots: 1, kv_tokens: 0, ask: ask(2), granted: None })]
+#[case(Admission { name: "free", slots: 2, kv_tokens: 0, ask: ask(2), answer: Some(Grant::Granted { start_in: 0, wait: 1_000 }) })]
+#[case(Admission { name: "full, with a wait shorter than the limit", slots: 1, kv_tokens: 0, ask: ask(2), answer: None })]
 #[case(Admission {
-    name: "full, and the wait is longer than the patience",
+    name: "full, with a wait longer than the limit",
     slots: 1,
     kv_tokens: 0,
     ask: Ask { patience: 500, ..ask(2) },
-    granted: Some(Grant::Refused { retry_after: 1_000 }),
+    answer: Some(Grant::Refused { retry_after: 1_000 }),
 })]
 #[case(Admission {
-    name: "a slot is free, but no memory",
+    name: "a slot is free, but not enough memory",
     slots: 2,
     kv_tokens: 15,
     ask: ask(2),
-    granted: None,
+    answer: None,
 })]
 fn admission(#[case] case: Admission) {
     let mut allocator = allocator(case.slots, case.kv_tokens);
     assert!(is_granted(allocator.ask(ask(1), NOW)));
-    assert_eq!(allocator.ask(case.ask, NOW), case.granted, "{}", case.name);
+    assert_eq!(allocator.ask(case.ask, NOW), case.answer, "{}", case.name);
 }
 
 #[rstest]
-fn gives_up_at_once_when_the_patience_is_over() {
+fn a_waiting_request_expires_at_its_deadline() {
     let mut allocator = allocator(1, 0);
     allocator.ask(Ask { hold: 10, ..ask(1) }, NOW);
     assert_eq!(allocator.ask(Ask { patience: 50, ..ask(2) }, NOW), None);
@@ -126,7 +126,7 @@
 }
 
 #[rstest]
-fn a_runner_that_is_down_keeps_nobody_waiting() {
+fn a_runner_that_is_down_has_no_waiting_requests() {
     let mut allocator = allocator(1, 0);
     allocator.ask(ask(1), NOW);
     assert_eq!(allocator.ask(ask(2), NOW), None);
@@ -139,41 +139,53 @@
 }
 
 #[rstest]
-fn a_new_owner_counts_what_the_engine_lists_until_it_lists_it_no_more() {
+fn a_new_owner_adopts_attempts_while_the_engine_lists_them() {
     let mut allocator = allocator(1, 0);
     allocator.adopt(&[id(1)], NOW);
     assert_eq!(allocator.ask(ask(2), NOW), None);
     allocator.adopt(&[], NOW + 10);
     assert_eq!(allocator.serve(NOW + 10), [id(2)]);
-    // A list from before the release does not bring the attempt back.
+    // A list requested before the release does not restore the attempt.
     allocator.release(id(2), NOW + 20);
     allocator.adopt(&[id(2)], NOW + 30);
     assert!(is_granted(allocator.ask(ask(3), NOW + 30)));
 }
 
 #[rstest]
-fn a_slot_granted_ahead_is_one_that_is_due() {
+fn a_slot_is_granted_early_only_if_a_release_is_due() {
     let mut allocator = Allocator::new(Limits { slots: 4, kv_tokens: 0, ahead: true });
     for sequence in 0..4 {
         allocator.ask(ask(sequence), NOW);
     }
     let early = Ask { lead: 400, ..ask(10) };
-    assert_eq!(allocator.ask(early, NOW + 700), None, "due in 300 ms, beyond half the lead");
-    assert_eq!(allocator.serve(NOW + 850), [id(10)], "due in 150 ms");
-    assert_eq!(allocator.ask(Ask { lead: 400, ..ask(11) }, NOW + 850), None, "one at a time");
+    assert_eq!(
+        allocator.ask(early, NOW + 700),
+        None,
+        "release due in 300 ms, later than half the lead time"
+    );
+    assert_eq!(allocator.serve(NOW + 850), [id(10)], "release due in 150 ms");
+    assert_eq!(
+        allocator.ask(Ask { lead: 400, ..ask(11) }, NOW + 850),
+        None,
+        "only one release is due"
+    );
 }
 
 #[rstest]
-fn a_prefill_starts_so_that_it_ends_when_the_link_is_free() {
+fn a_prefill_is_delayed_to_end_when_the_link_is_free() {
     let mut allocator = allocator(8, 0);
-    let moving = |sequence| Ask { lead: 100, transfer: 300, patience: 700, ..ask(sequence) };
+    let with_transfer = |sequence| Ask { lead: 100, transfer: 300, patience: 700, ..ask(sequence) };
     let granted = |start_in| Some(Grant::Granted { start_in, wait: 0 });
-    assert_eq!(allocator.ask(moving(1), NOW), granted(0), "link free");
-    assert_eq!(allocator.ask(moving(2), NOW), granted(300), "behind one transfer");
-    assert_eq!(allocator.ask(moving(3), NOW + 100), granted(500), "behind what is left of two");
-    let refused = allocator.ask(moving(4), NOW + 100);
-    assert_eq!(refused, Some(Grant::Refused { retry_after: 800 }), "too late for its target");
-    assert!(is_granted(allocator.ask(ask(5), NOW + 100)), "nothing to move");
+    assert_eq!(allocator.ask(with_transfer(1), NOW), granted(0), "link is free");
+    assert_eq!(allocator.ask(with_transfer(2), NOW), granted(300), "behind one transfer");
+    assert_eq!(
+        allocator.ask(with_transfer(3), NOW + 100),
+        granted(500),
+        "behind the rest of two transfers"
+    );
+    let refused = allocator.ask(with_transfer(4), NOW + 100);
+    assert_eq!(refused, Some(Grant::Refused { retry_after: 800 }), "the wait exceeds its limit");
+    assert!(is_granted(allocator.ask(ask(5), NOW + 100)), "no transfer");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -193,7 +205,7 @@
     ]
 }
 
-/// The same histories in every run.
+/// Fixed seed, so that every run plays the same histories.
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -211,11 +223,11 @@
             let granted = match event {
                 Event::Ask(sequence, quick) => {
                     let class = if quick { Class::Quick } else { Class::Patient };
-                    let asked = id(sequence);
+                    let attempt = id(sequence);
                     match allocator.ask(Ask { class, ..ask(sequence) }, now) {
-                        Some(Grant::Granted { .. }) => { held.insert(asked); }
-                        Some(_) => prop_assert!(!held.contains(&asked)),
-                        None => { waiting.insert(asked); }
+                        Some(Grant::Granted { .. }) => { held.insert(attempt); }
+                        Some(_) => prop_assert!(!held.contains(&attempt)),
+                        None => { waiting.insert(attempt); }
                     }
                     Vec::new()
                 }
@@ -225,21 +237,21 @@
                     allocator.release(id(sequence), now)
                 }
                 Event::Expire => {
-                    for over in allocator.expire(now) {
-                        prop_assert!(waiting.remove(&over), "only a waiter is given up on");
+                    for expired in allocator.expire(now) {
+                        prop_assert!(waiting.remove(&expired), "only waiting requests expire");
                     }
                     allocator.serve(now)
                 }
                 Event::Wait(millis) => { now = now + millis; Vec::new() }
             };
             for attempt in granted {
-                prop_assert!(waiting.remove(&attempt), "only a waiter is granted");
+                prop_assert!(waiting.remove(&attempt), "only waiting requests are granted");
                 held.insert(attempt);
             }
             prop_assert!(held.len() <= 3);
             prop_assert_eq!(allocator.report(now).busy as usize, held.len());
             prop_assert_eq!(allocator.report(now).waiting as usize, waiting.len());
-            prop_assert!(waiting.is_empty() || held.len() == 3, "no free slot while one waits");
+            prop_assert!(waiting.is_empty() || held.len() == 3, "no slot is free while a request waits");
         }
     }
 }
--- a/crates/coordination/tests/splice.rs
+++ b/crates/coordination/tests/splice.rs
@@ -1,4 +1,4 @@
-//! Output by offset: late, crossed, doubled and missing pieces never reach the caller wrongly.
+//! Splice: late, reordered, duplicate and missing pieces never corrupt the output.
 
 use crosslane_coordination::splice::{Piece, Splice};
 use crosslane_state::attempt::Id;
@@ -10,7 +10,7 @@
     Id { origin: Incarnation(1), sequence: 1, round }
 }
 
-/// The same histories in every run.
+/// Fixed seed, so that every run plays the same histories.
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig { cases, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() }
 }
@@ -18,7 +18,7 @@
 proptest! {
     #![proptest_config(config(4_000))]
 
-    /// Two attempts' pieces come in any order; what is taken is the answer's beginning.
+    /// The pieces of two attempts arrive in any order; the accepted ones form a prefix of the answer.
     #[test]
     fn taken_pieces_are_in_order_and_of_the_current_attempt(
         pieces in prop::collection::vec((0..2u16, 0..12u64), 0..80),
@@ -28,8 +28,8 @@
         let mut splice = Splice::new(attempt(0));
         let mut current = 0;
         let mut taken = Vec::new();
-        for (place, (round, offset)) in pieces.into_iter().enumerate() {
-            if place == switch {
+        for (index, (round, offset)) in pieces.into_iter().enumerate() {
+            if index == switch {
                 current = 1;
                 splice.switch(attempt(1));
             }
@@ -44,7 +44,7 @@
         }
         let expected: Vec<u64> = (0..taken.len() as u64).collect();
         prop_assert_eq!(&taken, &expected);
-        prop_assert!(!splice.end(attempt(1 - current), taken.len() as u64), "not the current one");
+        prop_assert!(!splice.end(attempt(1 - current), taken.len() as u64), "not the current attempt");
         prop_assert_eq!(splice.end(attempt(current), total), total == taken.len() as u64);
     }
 }
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -1,4 +1,4 @@
-//! Stages: shares of engines, only on a settled list, one order an engine.
+//! Stage planning: split of the engines, only on a settled list, and one order at a time per engine.
 
 use crosslane_coordination::pool::Pool;
 use crosslane_coordination::stages::Plan;
@@ -31,7 +31,7 @@
     pool
 }
 
-struct Case {
+struct Split {
     name: &'static str,
     prefill: usize,
     decode: usize,
@@ -40,13 +40,13 @@
 }
 
 #[rstest]
-#[case(Case { name: "as wanted", prefill: 3, decode: 6, to: None, orders: 0 })]
-#[case(Case { name: "one too many", prefill: 4, decode: 5, to: Some(Stage::Decode), orders: 1 })]
-#[case(Case { name: "two too many", prefill: 7, decode: 11, to: Some(Stage::Decode), orders: 2 })]
-#[case(Case { name: "two of eight suffice", prefill: 2, decode: 6, to: None, orders: 0 })]
-#[case(Case { name: "one of eight is kept full", prefill: 1, decode: 7, to: Some(Stage::Prefill), orders: 1 })]
-#[case(Case { name: "a single engine", prefill: 0, decode: 1, to: None, orders: 0 })]
-fn shares(#[case] case: Case) {
+#[case(Split { name: "at the target", prefill: 3, decode: 6, to: None, orders: 0 })]
+#[case(Split { name: "one too many", prefill: 4, decode: 5, to: Some(Stage::Decode), orders: 1 })]
+#[case(Split { name: "two too many", prefill: 7, decode: 11, to: Some(Stage::Decode), orders: 2 })]
+#[case(Split { name: "two of eight are enough", prefill: 2, decode: 6, to: None, orders: 0 })]
+#[case(Split { name: "one of eight would be overloaded", prefill: 1, decode: 7, to: Some(Stage::Prefill), orders: 1 })]
+#[case(Split { name: "a single engine", prefill: 0, decode: 1, to: None, orders: 0 })]
+fn split(#[case] case: Split) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
     let mut plan = Plan::default();
@@ -57,7 +57,7 @@
 }
 
 #[rstest]
-fn a_list_that_still_grows_is_not_acted_on() {
+fn nothing_is_ordered_while_the_list_changes() {
     let mut pool = pool(5, 4);
     let mut plan = Plan::default();
     for round in 1..5_usize {
@@ -73,7 +73,7 @@
 }
 
 #[rstest]
-fn an_engine_is_not_ordered_again_while_its_order_may_be_carried_out() {
+fn an_engine_gets_no_second_order_while_the_first_may_be_executed() {
     let pool = pool(4, 5);
     let engines = &pool.engines()[SERVICE];
     let mut plan = Plan::default();
@@ -86,8 +86,9 @@
 
 struct Uneven {
     name: &'static str,
-    /// Engines that prefill and that decode, by failure domain.
+    /// Prefill and decode engines of each failure domain.
     before: [(usize, usize); 3],
+    /// Expected prefill engines after the changes, largest first.
     prefill: [usize; 3],
 }
 
@@ -95,7 +96,7 @@
 #[case(Uneven { name: "even", before: [(6, 8), (6, 8), (6, 8)], prefill: [4, 4, 3] })]
 #[case(Uneven { name: "uneven", before: [(9, 5), (6, 8), (3, 11)], prefill: [4, 4, 3] })]
 #[case(Uneven { name: "too few", before: [(3, 11), (1, 13), (0, 14)], prefill: [3, 2, 2] })]
-fn prefilling_engines_are_kept_even_over_failure_domains(#[case] case: Uneven) {
+fn prefill_engines_are_balanced_over_failure_domains(#[case] case: Uneven) {
     let domain = |place: usize| format!("domain-{place}");
     let mut engines = Vec::new();
     for (place, (prefill, decode)) in case.before.into_iter().enumerate() {
@@ -116,30 +117,31 @@
             let change = changes.iter().find(|change| change.key == key);
             change.map_or(stage, |found| found.stage) == Stage::Prefill
         };
-        let there = engines.iter().filter(|(_, endpoint)| endpoint.domain == domain(place));
-        there.filter(|(key, endpoint)| prefills(*key, endpoint.stage)).count()
+        let in_domain = engines.iter().filter(|(_, endpoint)| endpoint.domain == domain(place));
+        in_domain.filter(|(key, endpoint)| prefills(*key, endpoint.stage)).count()
     };
     let mut counts = [after(0), after(1), after(2)];
-    counts.sort_by(|one, other| other.cmp(one));
+    counts.sort_by(|a, b| b.cmp(a));
     assert_eq!(counts, case.prefill, "{}", case.name);
 }
 
-struct Missed {
+struct Shortage {
     name: &'static str,
     prefill: usize,
     decode: usize,
-    /// Time since the engine went, in milliseconds.
+    /// Time since the engine disappeared, in milliseconds.
     after: u64,
     orders: usize,
 }
 
-/// With two of eight engines prefilling, prompts waited 0.9 s in bursts while decode memory had room.
+/// With two prefill engines out of eight, prompts wait for 0.9 s in bursts while decode memory has
+/// room.
 #[rstest]
-#[case(Missed { name: "a crash passes", prefill: 2, decode: 6, after: 3_000, orders: 0 })]
-#[case(Missed { name: "gone for good", prefill: 2, decode: 6, after: 6_000, orders: 1 })]
-#[case(Missed { name: "as many as wanted", prefill: 3, decode: 5, after: 60_000, orders: 0 })]
-#[case(Missed { name: "several of many", prefill: 28, decode: 112, after: 6_000, orders: 4 })]
-fn prefilling_engines_that_are_missed_for_long_are_replaced(#[case] case: Missed) {
+#[case(Shortage { name: "missing for as long as a crash lasts", prefill: 2, decode: 6, after: 3_000, orders: 0 })]
+#[case(Shortage { name: "gone permanently", prefill: 2, decode: 6, after: 6_000, orders: 1 })]
+#[case(Shortage { name: "none missing", prefill: 3, decode: 5, after: 60_000, orders: 0 })]
+#[case(Shortage { name: "several missing in a large site", prefill: 28, decode: 112, after: 6_000, orders: 4 })]
+fn missing_prefill_engines_are_replaced_after_a_while(#[case] case: Shortage) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
     let mut plan = Plan::default();
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! Engines of a dead owner: one live node looks after each, and frees only what the dead left.
+//! Engines of a dead owner: exactly one live node cleans up each of them, and cancels only attempts of
+//! dead nodes.
 
 use crosslane_coordination::ledger;
 use crosslane_coordination::node::{Node, Options};
@@ -32,14 +33,14 @@
     }
 }
 
-fn node(me: u64) -> Node {
+fn node(number: u64) -> Node {
     let mut table = Table::default();
     for place in 0..ENGINES {
         table.insert(engine(place, Role::Prefill));
     }
     table.insert(engine(ENGINES, Role::Service));
     let mut node = Node::new(Options {
-        me: Incarnation(me),
+        me: Incarnation(number),
         domain: "Aarau".into(),
         table,
         mode: Mode::BestOfTwo,
@@ -54,7 +55,7 @@
             tombstones: 10,
             window_millis: 1_000,
         },
-        seed: me,
+        seed: number,
     });
     for number in 0..NODES {
         node.state.roster.join(Member {
@@ -69,7 +70,7 @@
     node
 }
 
-/// A case: which nodes are silent, and which of these others confirm.
+/// Silent nodes, and those of them whose death other nodes confirm.
 struct Case {
     silent: &'static [u64],
     confirmed: &'static [u64],
@@ -83,35 +84,42 @@
 ];
 
 #[rstest]
-fn each_engine_of_a_dead_owner_has_one_live_node() {
+fn each_engine_of_a_dead_owner_is_taken_over_by_one_live_node() {
     for Case { silent, confirmed } in CASES {
         let now = START + SUSPECT_MILLIS;
-        let mut looked_after = Vec::new();
+        let mut taken_over = Vec::new();
         let mut owned_by_dead = BTreeSet::new();
-        for me in (0..NODES).filter(|number| !silent.contains(number)) {
-            let mut node = node(me);
-            let heard = (0..NODES).filter(|number| !silent.contains(number));
-            heard.for_each(|number| node.detector.heard(Incarnation(number), now));
+        for own in (0..NODES).filter(|number| !silent.contains(number)) {
+            let mut node = node(own);
+            let alive = (0..NODES).filter(|number| !silent.contains(number));
+            alive.for_each(|number| node.detector.heard(Incarnation(number), now));
             confirmed.iter().for_each(|number| node.detector.confirm(Incarnation(*number), now));
-            looked_after.extend(node.taken_over(now).into_iter().map(|runner| runner.id));
-            let dead = |runner: &Runner| {
-                confirmed.iter().any(|gone| node.owner(runner.id) == Some(Incarnation(*gone)))
+            taken_over.extend(node.taken_over(now).into_iter().map(|runner| runner.id));
+            let has_dead_owner = |runner: &Runner| {
+                confirmed
+                    .iter()
+                    .any(|dead_node| node.owner(runner.id) == Some(Incarnation(*dead_node)))
             };
             let engines = node.options().table.iter().filter(|runner| runner.role != Role::Service);
-            owned_by_dead.extend(engines.filter(|runner| dead(runner)).map(|runner| runner.id));
+            owned_by_dead
+                .extend(engines.filter(|runner| has_dead_owner(runner)).map(|runner| runner.id));
         }
-        looked_after.sort();
-        assert_eq!(looked_after, Vec::from_iter(owned_by_dead), "silent: {silent:?}");
+        taken_over.sort();
+        assert_eq!(taken_over, Vec::from_iter(owned_by_dead), "silent: {silent:?}");
     }
 }
 
 #[rstest]
-fn only_what_the_dead_left_is_freed() {
+fn only_attempts_of_dead_nodes_are_cancelled() {
     let mut node = node(0);
     let now = START + SUSPECT_MILLIS;
     node.detector.heard(Incarnation(1), now);
     node.detector.confirm(Incarnation(3), now);
-    let of = |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, round: 0 };
-    let held = [of(0), of(1), of(2), of(3)];
-    assert_eq!(node.orphans(&held, now), [of(3)], "a live node's and a suspect's are left alone");
+    let attempt_of = |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, round: 0 };
+    let held = [attempt_of(0), attempt_of(1), attempt_of(2), attempt_of(3)];
+    assert_eq!(
+        node.orphans(&held, now),
+        [attempt_of(3)],
+        "attempts of live and suspected nodes are kept"
+    );
 }
