--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -23,7 +23,7 @@
 struct Departed {
     incarnation: Incarnation,
     at: Millis,
-    settled: bool,
+    claims_collected: bool,
 }
 
 /// Claims by key hash, kept for a time window.
@@ -32,7 +32,7 @@
     window_millis: u64,
     first_claims: HashMap<u64, Incarnation>,
     claim_ages: VecDeque<(Millis, u64)>,
-    departed: Vec<Departed>,
+    departures: Vec<Departed>,
 }
 
 impl Claims {
@@ -42,7 +42,7 @@
             window_millis,
             first_claims: HashMap::new(),
             claim_ages: VecDeque::new(),
-            departed: Vec::new(),
+            departures: Vec::new(),
         }
     }
 
@@ -66,17 +66,17 @@
         self.first_claims.get(&key).is_some_and(|first| *first != by)
     }
 
-    /// Records a departure; `settled` if the node handed over all its state.
-    pub fn departed(&mut self, incarnation: Incarnation, settled: bool, now: Millis) {
-        self.departed.retain(|departed| now.since(departed.at) < self.window_millis);
-        self.departed.push(Departed { incarnation, at: now, settled });
+    /// Records a departure; `claims_collected` if the node handed over all its state.
+    pub fn departed(&mut self, incarnation: Incarnation, claims_collected: bool, now: Millis) {
+        self.departures.retain(|departed| now.since(departed.at) < self.window_millis);
+        self.departures.push(Departed { incarnation, at: now, claims_collected });
     }
 
     /// Departed nodes whose claims have not all been collected.
     pub fn unsettled(&self) -> Vec<Incarnation> {
-        self.departed
+        self.departures
             .iter()
-            .filter(|departed| !departed.settled)
+            .filter(|departed| !departed.claims_collected)
             .map(|departed| departed.incarnation)
             .collect()
     }
@@ -84,9 +84,9 @@
     /// Records that all claims of a departed node are known here.
     pub fn settle(&mut self, incarnation: Incarnation) {
         for departed in
-            self.departed.iter_mut().filter(|departed| departed.incarnation == incarnation)
+            self.departures.iter_mut().filter(|departed| departed.incarnation == incarnation)
         {
-            departed.settled = true;
+            departed.claims_collected = true;
         }
     }
 
@@ -98,7 +98,7 @@
         let weight = hash::weight(key, at.0);
         let ranked_higher =
             |departed: &&Departed| hash::weight(key, departed.incarnation.0) > weight;
-        let mut unsettled = self.departed.iter().filter(|departed| !departed.settled);
+        let mut unsettled = self.departures.iter().filter(|departed| !departed.claims_collected);
         unsettled.find(ranked_higher).map(|_| Doubt::Unsettled)
     }
 }
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -22,9 +22,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// It was applied as this version.
+    #[serde(rename = "counted")]
     #[display("counted as version {_0}")]
     Counted(Version),
     /// Another publication came first; this version was in force.
+    #[serde(rename = "lost")]
     #[display("lost the race: version {_0} came first")]
     Lost(Version),
     /// It was withdrawn before it was accepted.
@@ -63,6 +65,7 @@
     /// Applied publications, oldest first.
     pub history: VecDeque<Publication>,
     /// Outcome of each publication, oldest first.
+    #[serde(rename = "verdicts")]
     pub verdicts: VecDeque<(String, Verdict)>,
     /// Offset of the last checkpoint.
     #[serde(rename = "checkpoint")]
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -85,27 +85,27 @@
 struct Holder {
     organisation: Organisation,
     kv_tokens: u64,
-    hold: u64,
-    since: Millis,
+    expected_hold_ms: u64,
+    granted_at: Millis,
     verified_at: Millis,
     adopted: bool,
-    start_in: u64,
+    start_in_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     ask: Ask,
-    since: Millis,
+    queued_at: Millis,
     sequence: u64,
 }
 
 impl Waiter {
     fn deadline(&self) -> Millis {
-        self.since + self.ask.patience
+        self.queued_at + self.ask.patience
     }
 
     fn class(&self, now: Millis) -> Class {
-        if now.since(self.since) >= AGING_MS { Class::Quick } else { self.ask.class }
+        if now.since(self.queued_at) >= AGING_MS { Class::Quick } else { self.ask.class }
     }
 }
 
@@ -180,7 +180,7 @@
             return Some(Grant::Refused { retry_after: wait.max(MIN_RETRY_AFTER_MS) });
         }
         self.sequence += 1;
-        self.waiters.push(Waiter { ask, since: now, sequence: self.sequence });
+        self.waiters.push(Waiter { ask, queued_at: now, sequence: self.sequence });
         None
     }
 
@@ -188,7 +188,7 @@
     pub fn granted(&self, attempt: Id, now: Millis) -> Option<Grant> {
         let holder = self.holders.get(&attempt)?;
         let wait = self.report(now).wait_millis;
-        Some(Grant::Granted { start_in: holder.start_in, wait })
+        Some(Grant::Granted { start_in: holder.start_in_ms, wait })
     }
 
     /// Removes an attempt from the holders and the queue; returns the attempts that were granted a
@@ -245,7 +245,7 @@
         }
         for attempt in listed {
             if !self.holders.contains_key(attempt) && !self.released.contains_key(attempt) {
-                let unknown = Ask {
+                let adopted_ask = Ask {
                     attempt: *attempt,
                     class: Class::Patient,
                     organisation: Organisation(0),
@@ -255,7 +255,7 @@
                     hold: 0,
                     transfer: 0,
                 };
-                self.occupy(&unknown, now);
+                self.occupy(&adopted_ask, now);
                 self.holders.entry(*attempt).and_modify(|holder| holder.adopted = true);
             }
         }
@@ -295,8 +295,9 @@
         if self.waiters.is_empty() && (self.holders.len() as u32) < self.limits.slots {
             return 0;
         }
-        let remaining_ms =
-            |holder: &Holder| (holder.since + self.corrected_hold_ms(holder.hold)).since(now);
+        let remaining_ms = |holder: &Holder| {
+            (holder.granted_at + self.corrected_hold_ms(holder.expected_hold_ms)).since(now)
+        };
         let held: u64 = self.holders.values().map(remaining_ms).sum();
         let queued = self.waiters.iter().filter(|waiter| before(waiter));
         let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.ask.hold)).sum();
@@ -312,7 +313,7 @@
                     self.slots_by_organisation.remove(&holder.organisation);
                 }
             }
-            self.record_hold(now.since(holder.since), holder.hold);
+            self.record_hold(now.since(holder.granted_at), holder.expected_hold_ms);
         }
     }
 
@@ -345,7 +346,9 @@
             return 0;
         }
         let horizon = now + lead / 2;
-        let due = |holder: &&Holder| holder.since + self.corrected_hold_ms(holder.hold) <= horizon;
+        let due = |holder: &&Holder| {
+            holder.granted_at + self.corrected_hold_ms(holder.expected_hold_ms) <= horizon
+        };
         let count = self.holders.values().filter(due).count() as u32;
         count.min(self.limits.slots / EARLY_GRANT_DIVISOR)
     }
@@ -374,11 +377,11 @@
         let holder = Holder {
             organisation: ask.organisation,
             kv_tokens: ask.kv_tokens,
-            hold: ask.hold,
-            since: now,
+            expected_hold_ms: ask.hold,
+            granted_at: now,
             verified_at: now,
             adopted: false,
-            start_in,
+            start_in_ms: start_in,
         };
         self.holders.insert(ask.attempt, holder);
     }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -59,7 +59,7 @@
     assert_eq!(admission::resume_wait(&FIRST_TRY), 1_800);
 }
 
-struct Timeouts {
+struct History {
     name: &'static str,
     /// Arrival time and timeout of each caller, in milliseconds.
     callers: &'static [(u64, u64)],
@@ -68,21 +68,21 @@
 }
 
 #[rstest]
-#[case(Timeouts { name: "the first caller", callers: &[(0, 9_000)], spent: 0 })]
-#[case(Timeouts { name: "a second try", callers: &[(0, 14_000), (10, 11_000)], spent: 3_000 })]
-#[case(Timeouts { name: "a longer timeout than before", callers: &[(0, 11_000), (10, 14_000)], spent: 0 })]
-#[case(Timeouts {
+#[case(History { name: "the first caller", callers: &[(0, 9_000)], spent: 0 })]
+#[case(History { name: "a second try", callers: &[(0, 14_000), (10, 11_000)], spent: 3_000 })]
+#[case(History { name: "a longer timeout than before", callers: &[(0, 11_000), (10, 14_000)], spent: 0 })]
+#[case(History {
     name: "remembered over a period",
     callers: &[(0, 14_000), (12_000, 13_000), (12_500, 11_000)],
     spent: 3_000,
 })]
-#[case(Timeouts {
+#[case(History {
     name: "timeouts became shorter",
     callers: &[(0, 14_000), (12_000, 9_000), (23_000, 9_000)],
     spent: 0,
 })]
-#[case(Timeouts { name: "after an idle period", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
-fn patience(#[case] case: Timeouts) {
+#[case(History { name: "after an idle period", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
+fn time_spent_follows_from_recent_timeouts(#[case] case: History) {
     let mut patience = Patience::default();
     let spent = case.callers.iter().map(|(at, told)| patience.spent(*told, Millis(*at))).last();
     assert_eq!(spent, Some(case.spent), "{}", case.name);
