--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -187,8 +187,8 @@
     /// The grant of an attempt, if it holds a slot.
     pub fn granted(&self, attempt: Id, now: Millis) -> Option<Grant> {
         let holder = self.holders.get(&attempt)?;
-        let wait = self.report(now).wait_millis;
-        Some(Grant::Granted { start_in: holder.start_in_ms, wait })
+        let next_wait_ms = self.report(now).wait_millis;
+        Some(Grant::Granted { start_in: holder.start_in_ms, wait: next_wait_ms })
     }
 
     /// Removes an attempt from the holders and the queue; returns the attempts that were granted a
