--- a/crates/coordination/tests/slots.rs
+++ b/crates/coordination/tests/slots.rs
@@ -175,7 +175,7 @@
 fn a_prefill_is_delayed_to_end_when_the_link_is_free() {
     let mut allocator = allocator(8, 0);
     let with_transfer = |sequence| Ask { lead: 100, transfer: 300, patience: 700, ..ask(sequence) };
-    let granted = |start_in| Some(Grant::Granted { start_in, wait: 0 });
+    let granted = |start_in_ms| Some(Grant::Granted { start_in: start_in_ms, wait: 0 });
     assert_eq!(allocator.ask(with_transfer(1), NOW), granted(0), "link is free");
     assert_eq!(allocator.ask(with_transfer(2), NOW), granted(300), "behind one transfer");
     assert_eq!(
