--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -129,9 +129,9 @@
         self.release_mark = node.ledger.releases();
         self.released.clear();
         match node.route(&self.key, &self.released_by, now) {
-            Route::Here { mut ask } => {
-                ask.reverse();
-                self.to_ask = ask;
+            Route::Here { ask: mut to_ask } => {
+                to_ask.reverse();
+                self.to_ask = to_ask;
                 self.ask_next(node, now)
             }
             Route::There(owner) => {
