--- a/crates/coordination/src/choice.rs
+++ b/crates/coordination/src/choice.rs
@@ -44,14 +44,14 @@
     /// Tokens of KV cache.
     pub tokens: u32,
     /// Utilization above which an engine is not considered.
-    pub below: f64,
+    pub max_utilization: f64,
 }
 
 impl Room {
     /// Whether an engine with this utilization has the room.
     fn fits(self, utilization: f64, capacity: u64) -> bool {
         let after = utilization + f64::from(self.tokens) / capacity.max(1) as f64;
-        utilization <= self.below && (after <= OVERCOMMIT_LIMIT || utilization == 0.0)
+        utilization <= self.max_utilization && (after <= OVERCOMMIT_LIMIT || utilization == 0.0)
     }
 }
 
@@ -63,13 +63,13 @@
     /// Stage.
     pub stage: Stage,
     /// KV cache of one endpoint of this stage, in tokens; zero for plain services.
-    pub capacity: u64,
+    pub capacity_tokens: u64,
     /// Most connections that this node may have at one endpoint.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Room that the endpoint must have; with `None`, the least loaded one is chosen however full.
     pub room: Option<Room>,
     /// Endpoints to exclude.
-    pub except: &'a [Key],
+    pub exclude: &'a [Key],
 }
 
 impl Query<'_> {
@@ -78,10 +78,10 @@
         let endpoint = &entry.endpoint;
         !endpoint.draining
             && entry.throttled_until <= now
-            && entry.local.requests < self.connections
+            && entry.local.requests < self.max_connections
             && endpoint.stage == self.stage
             && endpoint.service == self.service
-            && !self.except.contains(&key)
+            && !self.exclude.contains(&key)
     }
 }
 
@@ -103,11 +103,11 @@
 ) -> Option<(Key, f64)> {
     let many = entries.len() > MAX_FULL_SCAN;
     let scanned = entries.into_iter().map(|(key, entry)| {
-        let utilization = entry.utilization(query.capacity, now);
+        let utilization = entry.utilization(query.capacity_tokens, now);
         Candidate { key, entry, utilization }
     });
     let has_room = |candidate: &Candidate<'_>| {
-        query.room.is_none_or(|room| room.fits(candidate.utilization, query.capacity))
+        query.room.is_none_or(|room| room.fits(candidate.utilization, query.capacity_tokens))
     };
     let mut candidates: Vec<Candidate<'_>> = scanned.filter(has_room).collect();
     match query.stage {
--- a/crates/coordination/src/connections.rs
+++ b/crates/coordination/src/connections.rs
@@ -12,7 +12,7 @@
 
 /// Connections that each of `nodes` nodes may have at an endpoint with this cap; at least one, as the
 /// endpoint would be unreachable otherwise.
-pub fn part(cap: u32, nodes: usize) -> u32 {
+pub fn share(cap: u32, nodes: usize) -> u32 {
     let share = f64::from(cap) * SHARED_FRACTION / nodes.max(1) as f64;
     (share as u32).max(1)
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -8,7 +8,7 @@
 use crate::reconcile::{self, Plan};
 use crate::record::Leave;
 use crate::retry::Budget;
-use crate::slots::{self, Allocator, Ask, Grant};
+use crate::slots::{self, Allocator, Decision, Request};
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::load::{Board, Report};
@@ -324,16 +324,16 @@
     }
 
     /// Requests a slot of an owned runner; `None` means that the request is queued.
-    pub fn ask(&mut self, runner: Id, ask: Ask, now: Millis) -> Option<Grant> {
+    pub fn ask(&mut self, runner: Id, ask: Request, now: Millis) -> Option<Decision> {
         match self.allocator(runner) {
-            Some(allocator) => allocator.ask(ask, now),
-            None => Some(Grant::NotOwner),
+            Some(allocator) => allocator.request_slot(ask, now),
+            None => Some(Decision::NotOwner),
         }
     }
 
     /// The grant of an attempt, if it holds a slot.
-    pub fn granted(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Grant> {
-        self.allocators.get(&runner)?.granted(attempt, now)
+    pub fn granted(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Decision> {
+        self.allocators.get(&runner)?.decision(attempt, now)
     }
 
     /// Frees a slot and returns the attempts that were granted one in turn.
@@ -352,7 +352,7 @@
         };
         let unavailable: Vec<_> = self.allocators.keys().copied().filter(leaving).collect();
         for id in unavailable {
-            self.allocators.entry(id).and_modify(|allocator| allocator.answers(false));
+            self.allocators.entry(id).and_modify(|allocator| allocator.set_responsive(false));
         }
         for allocator in self.allocators.values_mut() {
             let retry_after = allocator.retry_after(now);
@@ -363,7 +363,7 @@
 
     /// Grants slots that became available by the passing of time, as predicted releases do.
     pub fn serve(&mut self, now: Millis) -> Vec<attempt::Id> {
-        self.allocators.values_mut().flat_map(|allocator| allocator.serve(now)).collect()
+        self.allocators.values_mut().flat_map(|allocator| allocator.grant_waiting(now)).collect()
     }
 
     /// Load of the owned runners.
@@ -377,16 +377,16 @@
         let vm = self.options.table.find(runner)?.vm.clone();
         let leaving = self.is_leaving(&vm);
         let allocator = self.allocator(runner)?;
-        allocator.answers(!leaving);
+        allocator.set_responsive(!leaving);
         allocator.adopt(held, now);
-        let holders = allocator.verify(now);
+        let holders = allocator.held_attempts(now);
         Some(reconcile::plan(&holders, |origin| self.belief(origin, now)))
     }
 
     /// Records that an owned engine does not respond.
     pub fn silent(&mut self, runner: Id) {
         if let Some(allocator) = self.allocator(runner) {
-            allocator.answers(false);
+            allocator.set_responsive(false);
         }
     }
 
@@ -503,7 +503,7 @@
         let limits = slots::Limits {
             slots: described.slots,
             kv_tokens: described.kv_tokens,
-            ahead: self.options.ahead,
+            grant_early: self.options.ahead,
         };
         Some(self.allocators.entry(runner).or_insert_with(|| Allocator::new(limits)))
     }
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether an endpoint is known and not draining.
-    pub fn usable(&self, key: Key) -> bool {
+    pub fn is_usable(&self, key: Key) -> bool {
         self.entries.get(key).is_some_and(|entry| !entry.endpoint.draining)
     }
 
@@ -157,7 +157,7 @@
 
     /// Engines of a service that may hold the cached prefix of a caller in this failure domain: all
     /// of them, or in a large pool only those of the domain, as these are preferred for placement.
-    pub fn keepers(&self, service: &str) -> Vec<(Key, Endpoint)> {
+    pub fn cache_candidates(&self, service: &str) -> Vec<(Key, Endpoint)> {
         let engines = self.engines().remove(service).unwrap_or_default();
         let many = engines.len() > MAX_FULL_SCAN;
         let near =
@@ -167,7 +167,7 @@
 
     /// Number of prefill engines of a service that this node prefers for placement: all of them, or
     /// in a large pool only those of its failure domain.
-    pub fn prefilling(&self, service: &str) -> usize {
+    pub fn prefill_engine_count(&self, service: &str) -> usize {
         let engines = self.entries.values().map(|entry| &entry.endpoint);
         let usable = engines.filter(|endpoint| {
             endpoint.stage == Stage::Prefill && endpoint.service == service && !endpoint.draining
@@ -215,7 +215,7 @@
     }
 
     /// Adds a request and its tokens to the local usage of an endpoint.
-    pub fn enter(&mut self, key: Key, tokens: u32) {
+    pub fn add_request(&mut self, key: Key, tokens: u32) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.local.requests += 1;
             entry.local.tokens += tokens;
@@ -224,7 +224,7 @@
     }
 
     /// Removes a request and its tokens from the local usage of an endpoint.
-    pub fn leave(&mut self, key: Key, tokens: u32) {
+    pub fn remove_request(&mut self, key: Key, tokens: u32) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.local.requests = entry.local.requests.saturating_sub(1);
             entry.local.tokens = entry.local.tokens.saturating_sub(tokens);
@@ -241,21 +241,21 @@
     }
 
     /// Records the outcome of a request for the endpoint's health.
-    pub fn note(&mut self, key: Key, outcome: Outcome, now: Millis) {
+    pub fn record_outcome(&mut self, key: Key, outcome: Outcome, now: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.health.note(outcome, now);
         }
     }
 
     /// Records a load report of an endpoint.
-    pub fn load(&mut self, key: Key, load: Load, now: Millis) {
+    pub fn record_load(&mut self, key: Key, load: Load, now: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.reported_load = Some((load, now));
         }
     }
 
     /// Sends an endpoint no requests until a time, as its rate limit is exhausted.
-    pub fn hold_back(&mut self, key: Key, until: Millis) {
+    pub fn throttle(&mut self, key: Key, until: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.throttled_until = until;
         }
@@ -263,7 +263,7 @@
 
     /// Ends the throttling of an endpoint whose rate limit changed. If the limit was lifted
     /// altogether (`ended`), a slow start begins.
-    pub fn let_in(&mut self, tag: Tag, ended: bool, now: Millis) {
+    pub fn end_throttle(&mut self, tag: Tag, ended: bool, now: Millis) {
         if let Some(entry) = self.tags.get(&tag).and_then(|key| self.entries.get_mut(*key)) {
             entry.throttled_until = now;
             entry.limit_lifted_at = ended.then_some(now);
@@ -272,7 +272,7 @@
 
     /// Time in milliseconds until the first endpoint of a service and stage is no longer throttled,
     /// or `None` if at least one is not throttled now.
-    pub fn held_for(&self, service: &str, stage: Stage, now: Millis) -> Option<u64> {
+    pub fn throttled_for_ms(&self, service: &str, stage: Stage, now: Millis) -> Option<u64> {
         let usable = self.entries.values().filter(|entry| {
             let endpoint = &entry.endpoint;
             endpoint.service == service && endpoint.stage == stage && !endpoint.draining
@@ -282,13 +282,13 @@
     }
 
     /// Local usage of all endpoints that other nodes need to know, for a full report.
-    pub fn usage(&self, now: Millis) -> Vec<(Tag, Usage)> {
+    pub fn local_usage(&self, now: Millis) -> Vec<(Tag, Usage)> {
         let shared = self.entries.values().filter(|entry| entry.worth_sharing(now));
         shared.map(|entry| entry.usage_row(now)).collect()
     }
 
     /// Records that this node ordered an engine to change its stage.
-    pub fn ordered(&mut self, key: Key, stage: Stage, now: Millis) {
+    pub fn record_stage_order(&mut self, key: Key, stage: Stage, now: Millis) {
         if let Some(entry) = self.entries.get(key) {
             let order = StageOrder { stage, until: now + STAGE_CHANGE_MS, issued_here: true };
             self.stage_orders.insert(entry.tag, order);
@@ -296,7 +296,7 @@
     }
 
     /// Stage orders issued by this node that are not carried out yet.
-    pub fn changing(&self, now: Millis) -> Vec<(Tag, Stage)> {
+    pub fn pending_stage_orders(&self, now: Millis) -> Vec<(Tag, Stage)> {
         let stage_of = |tag: &Tag| {
             let entry = self.tags.get(tag).and_then(|key| self.entries.get(*key));
             entry.map(|found| found.endpoint.stage)
@@ -311,7 +311,7 @@
     }
 
     /// Merges stage orders reported by another node; they expire at `until`.
-    pub fn hear_changing(&mut self, orders: &[(Tag, Stage)], until: Millis) {
+    pub fn merge_stage_orders(&mut self, orders: &[(Tag, Stage)], until: Millis) {
         for (tag, stage) in orders {
             let order = StageOrder { stage: *stage, until, issued_here: false };
             let known = self.stage_orders.entry(*tag).or_insert(order);
@@ -322,20 +322,20 @@
     }
 
     /// Takes the local usage of the engines where it changed since the last call, for a delta report.
-    pub fn updates(&mut self, now: Millis) -> Vec<(Tag, Usage)> {
+    pub fn take_usage_delta(&mut self, now: Millis) -> Vec<(Tag, Usage)> {
         let changed = std::mem::take(&mut self.changed_usage);
         changed.into_iter().filter_map(|key| Some(self.entries.get(key)?.usage_row(now))).collect()
     }
 
     /// Applies a usage delta of another node. It is ignored until that node's first full report.
-    pub fn update(&mut self, peer: Tag, usage: &[(Tag, Usage)]) {
+    pub fn apply_usage_delta(&mut self, peer: Tag, usage: &[(Tag, Usage)]) {
         if self.peer_usage.update(peer, usage) {
             self.refresh_remote(usage.iter().map(|row| row.0));
         }
     }
 
     /// Replaces the usage of another node with a full report that expires at `until`.
-    pub fn hear(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) {
+    pub fn apply_usage_report(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) {
         let changed = self.peer_usage.hear(peer, usage, until);
         self.refresh_remote(changed);
     }
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -42,7 +42,7 @@
 
 /// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Attempt that will hold the slot.
     pub attempt: Id,
     /// Priority class.
@@ -52,25 +52,25 @@
     /// KV cache needed, in tokens.
     pub kv_tokens: u64,
     /// Longest wait before the work must begin, in milliseconds.
-    pub patience: u64,
+    pub max_wait_ms: u64,
     /// Time between the grant and the first use of the slot, in milliseconds: the prefill runs in
     /// this time.
-    pub lead: u64,
+    pub lead_ms: u64,
     /// Expected time that the slot is held, in milliseconds.
-    pub hold: u64,
+    pub hold_ms: u64,
     /// Time that the KV-cache transfer occupies the runner's link, in milliseconds; zero for none.
-    pub transfer: u64,
+    pub transfer_ms: u64,
 }
 
 /// Answer to a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Grant {
+pub enum Decision {
     /// The slot is reserved, and the runner's link from the end of the prefill on.
     Granted {
         /// Delay before the prefill starts, in milliseconds, so that it ends when the link is free.
-        start_in: u64,
+        start_in_ms: u64,
         /// Expected wait of the next request, in milliseconds.
-        wait: u32,
+        wait_ms: u32,
     },
     /// No slot is free in time.
     Refused {
@@ -94,14 +94,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    ask: Ask,
+    ask: Request,
     queued_at: Millis,
     sequence: u64,
 }
 
 impl Waiter {
     fn deadline(&self) -> Millis {
-        self.queued_at + self.ask.patience
+        self.queued_at + self.ask.max_wait_ms
     }
 
     fn class(&self, now: Millis) -> Class {
@@ -118,7 +118,7 @@
     pub kv_tokens: u64,
     /// Whether slots are granted ahead of predicted releases, by at most half of the request's lead
     /// time.
-    pub ahead: bool,
+    pub grant_early: bool,
 }
 
 /// Grants the slots of one runner.
@@ -154,12 +154,12 @@
     }
 
     /// Grants or refuses a request, or queues it and returns `None`. Idempotent per attempt.
-    pub fn ask(&mut self, ask: Ask, now: Millis) -> Option<Grant> {
-        if let Some(grant) = self.granted(ask.attempt, now) {
+    pub fn request_slot(&mut self, ask: Request, now: Millis) -> Option<Decision> {
+        if let Some(grant) = self.decision(ask.attempt, now) {
             return Some(grant);
         }
         if self.down {
-            return Some(Grant::Refused { retry_after: DOWN_RETRY_AFTER_MS });
+            return Some(Decision::Refused { retry_after: DOWN_RETRY_AFTER_MS });
         }
         if self.waiters.iter().any(|waiter| waiter.ask.attempt == ask.attempt) {
             return None;
@@ -167,17 +167,17 @@
         let waiters_before =
             self.waiters.iter().filter(|waiter| waiter.class(now) <= ask.class).count();
         let link_wait = self.link_wait_ms(&ask, now);
-        if ask.transfer > 0 && link_wait > ask.patience {
-            return Some(Grant::Refused { retry_after: link_wait.max(MIN_RETRY_AFTER_MS) });
+        if ask.transfer_ms > 0 && link_wait > ask.max_wait_ms {
+            return Some(Decision::Refused { retry_after: link_wait.max(MIN_RETRY_AFTER_MS) });
         }
         if waiters_before == 0 && self.fits(&ask, now) {
             self.occupy(&ask, now);
-            return self.granted(ask.attempt, now);
+            return self.decision(ask.attempt, now);
         }
         let wait = self.expected_wait_ms(|waiter| waiter.class(now) <= ask.class, now);
         let full = self.waiters.len() >= self.limits.slots as usize * MAX_WAITERS_PER_SLOT;
-        if wait > ask.patience.saturating_add(ask.lead) || full {
-            return Some(Grant::Refused { retry_after: wait.max(MIN_RETRY_AFTER_MS) });
+        if wait > ask.max_wait_ms.saturating_add(ask.lead_ms) || full {
+            return Some(Decision::Refused { retry_after: wait.max(MIN_RETRY_AFTER_MS) });
         }
         self.sequence += 1;
         self.waiters.push(Waiter { ask, queued_at: now, sequence: self.sequence });
@@ -185,10 +185,10 @@
     }
 
     /// The grant of an attempt, if it holds a slot.
-    pub fn granted(&self, attempt: Id, now: Millis) -> Option<Grant> {
+    pub fn decision(&self, attempt: Id, now: Millis) -> Option<Decision> {
         let holder = self.holders.get(&attempt)?;
         let next_wait_ms = self.report(now).wait_millis;
-        Some(Grant::Granted { start_in: holder.start_in_ms, wait: next_wait_ms })
+        Some(Decision::Granted { start_in_ms: holder.start_in_ms, wait_ms: next_wait_ms })
     }
 
     /// Removes an attempt from the holders and the queue; returns the attempts that were granted a
@@ -197,11 +197,11 @@
         self.waiters.retain(|waiter| waiter.ask.attempt != attempt);
         self.released.insert(attempt, now);
         self.vacate(attempt, now);
-        self.serve(now)
+        self.grant_waiting(now)
     }
 
     /// Grants slots to waiting requests, in order, while the next one fits; returns their attempts.
-    pub fn serve(&mut self, now: Millis) -> Vec<Id> {
+    pub fn grant_waiting(&mut self, now: Millis) -> Vec<Id> {
         let mut granted = Vec::new();
         while let Some(index) = self.next_waiter(now) {
             if !self.fits(&self.waiters[index].ask.clone(), now) {
@@ -216,7 +216,7 @@
 
     /// Records whether the runner responds. While it does not, new requests are refused and waiting
     /// ones expire.
-    pub fn answers(&mut self, answers: bool) {
+    pub fn set_responsive(&mut self, answers: bool) {
         self.down = !answers;
     }
 
@@ -245,15 +245,15 @@
         }
         for attempt in listed {
             if !self.holders.contains_key(attempt) && !self.released.contains_key(attempt) {
-                let adopted_ask = Ask {
+                let adopted_ask = Request {
                     attempt: *attempt,
                     class: Class::Patient,
                     organisation: Organisation(0),
                     kv_tokens: 0,
-                    patience: 0,
-                    lead: 0,
-                    hold: 0,
-                    transfer: 0,
+                    max_wait_ms: 0,
+                    lead_ms: 0,
+                    hold_ms: 0,
+                    transfer_ms: 0,
                 };
                 self.occupy(&adopted_ask, now);
                 self.holders.entry(*attempt).and_modify(|holder| holder.adopted = true);
@@ -262,7 +262,7 @@
     }
 
     /// Attempts that hold slots, each with whether its origin node is due to confirm it.
-    pub fn verify(&mut self, now: Millis) -> Vec<(Id, bool)> {
+    pub fn held_attempts(&mut self, now: Millis) -> Vec<(Id, bool)> {
         let mut held = Vec::with_capacity(self.holders.len());
         for (attempt, holder) in &mut self.holders {
             let due = now.since(holder.verified_at) >= VERIFY_INTERVAL_MS;
@@ -300,7 +300,7 @@
         };
         let held: u64 = self.holders.values().map(remaining_ms).sum();
         let queued = self.waiters.iter().filter(|waiter| before(waiter));
-        let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.ask.hold)).sum();
+        let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.ask.hold_ms)).sum();
         (held + queued) / u64::from(self.limits.slots.max(1))
     }
 
@@ -330,19 +330,19 @@
         hold * self.hold_ratio / RATIO_ONE
     }
 
-    fn fits(&self, ask: &Ask, now: Millis) -> bool {
+    fn fits(&self, ask: &Request, now: Millis) -> bool {
         let capacity = self.limits.kv_tokens;
         if capacity > 0 && self.kv_tokens_held > 0 && self.kv_tokens_held + ask.kv_tokens > capacity
         {
             return false;
         }
         let held = self.holders.len() as u32;
-        held < self.limits.slots + self.predicted_releases(ask.lead, now)
+        held < self.limits.slots + self.predicted_releases(ask.lead_ms, now)
     }
 
     /// Releases expected within half of a lead time; zero if early grants are off.
     fn predicted_releases(&self, lead: u64, now: Millis) -> u32 {
-        if !self.limits.ahead || lead == 0 {
+        if !self.limits.grant_early || lead == 0 {
             return 0;
         }
         let horizon = now + lead / 2;
@@ -363,21 +363,21 @@
     }
 
     /// Time that the link is still busy after the end of a prefill that starts now.
-    fn link_wait_ms(&self, ask: &Ask, now: Millis) -> u64 {
-        self.link_free_at.since(now + ask.lead)
+    fn link_wait_ms(&self, ask: &Request, now: Millis) -> u64 {
+        self.link_free_at.since(now + ask.lead_ms)
     }
 
-    fn occupy(&mut self, ask: &Ask, now: Millis) {
-        let start_in = if ask.transfer > 0 { self.link_wait_ms(ask, now) } else { 0 };
-        if ask.transfer > 0 {
-            self.link_free_at = now + start_in + ask.lead + ask.transfer;
+    fn occupy(&mut self, ask: &Request, now: Millis) {
+        let start_in = if ask.transfer_ms > 0 { self.link_wait_ms(ask, now) } else { 0 };
+        if ask.transfer_ms > 0 {
+            self.link_free_at = now + start_in + ask.lead_ms + ask.transfer_ms;
         }
         self.kv_tokens_held += ask.kv_tokens;
         *self.slots_by_organisation.entry(ask.organisation).or_default() += 1;
         let holder = Holder {
             organisation: ask.organisation,
             kv_tokens: ask.kv_tokens,
-            expected_hold_ms: ask.hold,
+            expected_hold_ms: ask.hold_ms,
             granted_at: now,
             verified_at: now,
             adopted: false,
--- a/crates/coordination/tests/pool.rs
+++ b/crates/coordination/tests/pool.rs
@@ -18,10 +18,10 @@
 const QUERY: Query<'static> = Query {
     service: SERVICE,
     stage: Stage::Decode,
-    capacity: CAPACITY,
-    connections: u32::MAX,
+    capacity_tokens: CAPACITY,
+    max_connections: u32::MAX,
     room: None,
-    except: &[],
+    exclude: &[],
 };
 
 /// Start time of the endpoints, in milliseconds since the Unix epoch.
@@ -97,8 +97,12 @@
 fn usage_of_a_peer_counts_until_its_report_expires() {
     let mut pool = pool(&["a", "b"]);
     let usage = Usage { requests: 5, tokens: 40_000, outcomes: Record::default() };
-    pool.hear(Tag(7), vec![(tag("a"), usage)], Millis(2_000));
-    pool.hear(Tag(8), vec![(tag("b"), Usage { tokens: 20_000, ..usage })], Millis(5_000));
+    pool.apply_usage_report(Tag(7), vec![(tag("a"), usage)], Millis(2_000));
+    pool.apply_usage_report(
+        Tag(8),
+        vec![(tag("b"), Usage { tokens: 20_000, ..usage })],
+        Millis(5_000),
+    );
     pool.expire(Millis(1_900));
     assert_eq!(chosen(&mut pool, 1_900).as_deref(), Some("b"));
     pool.expire(Millis(2_100));
@@ -110,7 +114,7 @@
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     let failed = pool.get(key).unwrap().id.clone();
-    pool.note(key, Outcome::Failed, Millis(0));
+    pool.record_outcome(key, Outcome::Failed, Millis(0));
     for _ in 0..50 {
         assert_ne!(chosen(&mut pool, 100).unwrap(), failed);
     }
@@ -121,24 +125,24 @@
 fn requests_are_counted_until_they_end() {
     let mut pool = pool(&["a"]);
     let (key, empty) = pool.choose(QUERY, Millis(0)).unwrap();
-    pool.enter(key, 50_000);
+    pool.add_request(key, 50_000);
     let (_, full) = pool.choose(QUERY, Millis(0)).unwrap();
     assert!(empty < 1.0 && full >= 1.0);
-    assert_eq!(pool.usage(Millis(0)).len(), 1);
-    pool.leave(key, 50_000);
-    assert!(pool.usage(Millis(0)).is_empty());
+    assert_eq!(pool.local_usage(Millis(0)).len(), 1);
+    pool.remove_request(key, 50_000);
+    assert!(pool.local_usage(Millis(0)).is_empty());
 }
 
 #[rstest]
 fn failures_do_not_count_as_utilization() {
     let mut pool = pool(&["a"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
-    pool.note(key, Outcome::Failed, Millis(0));
+    pool.record_outcome(key, Outcome::Failed, Millis(0));
     let reported = vec![(
         tag("a"),
         Usage { outcomes: Record { failures: 3.0, successes: 0.0 }, ..Usage::default() },
     )];
-    (0..8).for_each(|peer| pool.hear(Tag(peer), reported.clone(), UNTIL));
+    (0..8).for_each(|peer| pool.apply_usage_report(Tag(peer), reported.clone(), UNTIL));
     let (_, load) = pool.choose(QUERY, Millis(0)).unwrap();
     assert!(load < 0.1, "an idle engine that failed has a utilization of {load}");
 }
@@ -147,16 +151,16 @@
 fn a_usage_delta_counts_at_once_and_until_the_next_full_report() {
     let mut pool = pool(&["a", "b"]);
     let usage = Usage { requests: 1, tokens: 40_000, outcomes: Record::default() };
-    pool.update(Tag(7), &[(tag("a"), usage)]);
+    pool.apply_usage_delta(Tag(7), &[(tag("a"), usage)]);
     assert!((0..50).any(|_| chosen(&mut pool, 100).unwrap() == "a"), "no full report yet");
-    pool.hear(Tag(7), Vec::new(), UNTIL);
-    pool.update(Tag(7), &[(tag("a"), usage)]);
-    pool.update(Tag(7), &[(tag("a"), usage)]);
+    pool.apply_usage_report(Tag(7), Vec::new(), UNTIL);
+    pool.apply_usage_delta(Tag(7), &[(tag("a"), usage)]);
+    pool.apply_usage_delta(Tag(7), &[(tag("a"), usage)]);
     assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "b"), "usage reported");
-    pool.update(Tag(7), &[(tag("a"), Usage::default())]);
-    pool.update(Tag(7), &[(tag("b"), usage)]);
+    pool.apply_usage_delta(Tag(7), &[(tag("a"), Usage::default())]);
+    pool.apply_usage_delta(Tag(7), &[(tag("b"), usage)]);
     assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == "a"), "usage ended");
-    pool.hear(Tag(7), Vec::new(), UNTIL);
+    pool.apply_usage_report(Tag(7), Vec::new(), UNTIL);
     assert!(
         (0..50).any(|_| chosen(&mut pool, 200).unwrap() == "b"),
         "a full report replaces deltas"
@@ -167,12 +171,12 @@
 fn changed_usage_is_reported_once() {
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
-    pool.enter(key, 5_000);
-    let updates = pool.updates(Millis(0));
+    pool.add_request(key, 5_000);
+    let updates = pool.take_usage_delta(Millis(0));
     assert_eq!(updates, [(pool.get(key).unwrap().tag(), usage(1, 5_000))]);
-    assert!(pool.updates(Millis(0)).is_empty());
-    pool.leave(key, 5_000);
-    assert_eq!(pool.updates(Millis(0))[0].1, usage(0, 0));
+    assert!(pool.take_usage_delta(Millis(0)).is_empty());
+    pool.remove_request(key, 5_000);
+    assert_eq!(pool.take_usage_delta(Millis(0))[0].1, usage(0, 0));
 }
 
 fn usage(requests: u32, tokens: u32) -> Usage {
@@ -200,7 +204,7 @@
     });
     pool.replace(engines.collect(), false, Millis(0));
     let reported = (0..20).map(|place| (tag(&format!("e{place}")), usage(1, case.used)));
-    pool.hear(Tag(7), reported.collect(), UNTIL);
+    pool.apply_usage_report(Tag(7), reported.collect(), UNTIL);
     for _ in 0..50 {
         let id = chosen(&mut pool, 100).unwrap();
         let place: usize = id[1..].parse().unwrap();
@@ -226,8 +230,8 @@
     let mut pool = pool(&["a", "b"]);
     let (failures, successes) = case.reported;
     let reported = Usage { outcomes: Record { failures, successes }, ..Usage::default() };
-    (0..8).for_each(|peer| pool.hear(Tag(peer), vec![(tag("a"), reported)], UNTIL));
-    pool.hear(Tag(9), vec![(tag("b"), usage(1, case.other_tokens))], UNTIL);
+    (0..8).for_each(|peer| pool.apply_usage_report(Tag(peer), vec![(tag("a"), reported)], UNTIL));
+    pool.apply_usage_report(Tag(9), vec![(tag("b"), usage(1, case.other_tokens))], UNTIL);
     let avoided = (0..50).all(|_| chosen(&mut pool, 100).unwrap() == "b");
     assert_eq!(avoided, case.avoided, "{}", case.name);
 }
@@ -236,11 +240,11 @@
 fn successes_are_shared_where_others_report_failures() {
     let mut pool = pool(&["a"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
-    pool.note(key, Outcome::Good, Millis(0));
-    assert!(pool.usage(Millis(0)).is_empty());
+    pool.record_outcome(key, Outcome::Good, Millis(0));
+    assert!(pool.local_usage(Millis(0)).is_empty());
     let failing = Usage { outcomes: Record { failures: 0.6, successes: 0.0 }, ..Usage::default() };
-    pool.hear(Tag(7), vec![(tag("a"), failing)], UNTIL);
-    assert_eq!(pool.usage(Millis(0))[0].1.outcomes, Record { failures: 0.0, successes: 1.0 });
+    pool.apply_usage_report(Tag(7), vec![(tag("a"), failing)], UNTIL);
+    assert_eq!(pool.local_usage(Millis(0))[0].1.outcomes, Record { failures: 0.0, successes: 1.0 });
 }
 
 #[rstest]
@@ -248,10 +252,10 @@
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     let gone = pool.get(key).unwrap().id.clone();
-    (0..30).for_each(|_| pool.note(key, Outcome::Good, Millis(0)));
-    pool.note(key, Outcome::Down, Millis(0));
+    (0..30).for_each(|_| pool.record_outcome(key, Outcome::Good, Millis(0)));
+    pool.record_outcome(key, Outcome::Down, Millis(0));
     let other = if gone == "a" { "b" } else { "a" };
-    pool.hear(Tag(9), vec![(tag(other), usage(9, 49_000))], UNTIL);
+    pool.apply_usage_report(Tag(9), vec![(tag(other), usage(9, 49_000))], UNTIL);
     assert!((0..50).all(|_| chosen(&mut pool, 100).unwrap() == other));
 }
 
@@ -260,13 +264,13 @@
     let mut pool = pool(&["a", "b"]);
     let (key, _) = pool.choose(QUERY, Millis(0)).unwrap();
     let changing = pool.get(key).unwrap().id.clone();
-    pool.ordered(key, Stage::Prefill, Millis(0));
+    pool.record_stage_order(key, Stage::Prefill, Millis(0));
     assert!((0..50).all(|_| chosen(&mut pool, 5_000).unwrap() != changing));
-    assert_eq!(pool.changing(Millis(100)), [(tag(&changing), Stage::Prefill)]);
+    assert_eq!(pool.pending_stage_orders(Millis(100)), [(tag(&changing), Stage::Prefill)]);
     let prefills = Endpoint { stage: Stage::Prefill, ..endpoint(&changing, false) };
     let other = if changing == "a" { "b" } else { "a" };
     pool.replace(vec![prefills, endpoint(other, false)], false, Millis(6_000));
-    assert!(pool.changing(Millis(6_000)).is_empty(), "the order is carried out");
+    assert!(pool.pending_stage_orders(Millis(6_000)).is_empty(), "the order is carried out");
     let query = Query { stage: Stage::Prefill, ..QUERY };
     assert!(pool.choose(query, Millis(6_000)).is_some());
 }
@@ -276,8 +280,8 @@
 #[case(2_500, true)]
 fn an_order_of_a_peer_counts_until_its_report_expires(#[case] after: u64, #[case] used: bool) {
     let mut pool = pool(&["a", "b"]);
-    pool.hear_changing(&[(tag("a"), Stage::Prefill)], Millis(2_000));
-    assert!(pool.changing(Millis(0)).is_empty(), "not forwarded");
+    pool.merge_stage_orders(&[(tag("a"), Stage::Prefill)], Millis(2_000));
+    assert!(pool.pending_stage_orders(Millis(0)).is_empty(), "not forwarded");
     assert_eq!((0..50).any(|_| chosen(&mut pool, after).unwrap() == "a"), used);
 }
 
@@ -287,24 +291,27 @@
 #[case(true)]
 fn a_restarted_engine_is_a_new_endpoint(#[case] lenient: bool) {
     let mut pool = pool(&["a", "b"]);
-    pool.hear(Tag(7), vec![(tag("a"), usage(5, 40_000))], UNTIL);
+    pool.apply_usage_report(Tag(7), vec![(tag("a"), usage(5, 40_000))], UNTIL);
     let former = pool.engines()[SERVICE].iter().find(|engine| engine.1.id == "a").unwrap().0;
-    pool.enter(former, 5_000);
-    pool.note(former, Outcome::Failed, Millis(0));
-    pool.ordered(former, Stage::Prefill, Millis(0));
+    pool.add_request(former, 5_000);
+    pool.record_outcome(former, Outcome::Failed, Millis(0));
+    pool.record_stage_order(former, Stage::Prefill, Millis(0));
     let restarted = Endpoint { born: BORN + 1, ..endpoint("a", false) };
     pool.replace(vec![restarted, endpoint("b", false)], lenient, Millis(100));
     assert_eq!(pool.len(), 2, "the former entry is removed at once");
     assert!(pool.get(former).is_none());
-    assert!(pool.changing(Millis(100)).is_empty(), "the order was for the former engine");
-    pool.leave(former, 5_000);
-    pool.note(former, Outcome::Failed, Millis(100));
-    pool.hear(Tag(8), vec![(tag("a"), usage(5, 40_000))], UNTIL);
-    pool.hear_changing(&[(tag("a"), Stage::Prefill)], UNTIL);
-    pool.hear(Tag(9), vec![(tag("b"), usage(1, 30_000))], UNTIL);
+    assert!(
+        pool.pending_stage_orders(Millis(100)).is_empty(),
+        "the order was for the former engine"
+    );
+    pool.remove_request(former, 5_000);
+    pool.record_outcome(former, Outcome::Failed, Millis(100));
+    pool.apply_usage_report(Tag(8), vec![(tag("a"), usage(5, 40_000))], UNTIL);
+    pool.merge_stage_orders(&[(tag("a"), Stage::Prefill)], UNTIL);
+    pool.apply_usage_report(Tag(9), vec![(tag("b"), usage(1, 30_000))], UNTIL);
     let (key, load) = pool.choose(QUERY, Millis(100)).unwrap();
     assert_eq!((pool.get(key).unwrap().id.as_str(), load), ("a", 0.0));
-    assert!(pool.usage(Millis(100)).is_empty(), "no usage is shared");
+    assert!(pool.local_usage(Millis(100)).is_empty(), "no usage is shared");
 }
 
 struct Placed {
@@ -338,9 +345,9 @@
         let tokens = if place < 20 { case.used.0 } else { case.used.1 };
         (tag(&format!("e{place}")), usage(u32::from(tokens > 0), tokens))
     });
-    pool.hear(Tag(7), reported.collect(), UNTIL);
-    let room = Some(Room { tokens: case.needed, below: 1.0 });
-    let query = Query { connections: u32::MAX, room, ..QUERY };
+    pool.apply_usage_report(Tag(7), reported.collect(), UNTIL);
+    let room = Some(Room { tokens: case.needed, max_utilization: 1.0 });
+    let query = Query { max_connections: u32::MAX, room, ..QUERY };
     for _ in 0..50 {
         let chosen = pool.choose(query, Millis(100));
         let domain =
@@ -361,19 +368,19 @@
 #[case(Share { cap: 110, nodes: 780, share: 1 })]
 #[case(Share { cap: 0, nodes: 8, share: 1 })]
 fn the_connection_cap_is_divided_among_nodes(#[case] case: Share) {
-    assert_eq!(connections::part(case.cap, case.nodes), case.share);
+    assert_eq!(connections::share(case.cap, case.nodes), case.share);
 }
 
 #[rstest]
 fn an_endpoint_at_the_connection_limit_is_not_chosen() {
     let mut pool = pool(&["a"]);
-    let query = Query { connections: 2, ..QUERY };
+    let query = Query { max_connections: 2, ..QUERY };
     let (key, _) = pool.choose(query, Millis(0)).unwrap();
-    pool.enter(key, 0);
+    pool.add_request(key, 0);
     assert!(pool.choose(query, Millis(0)).is_some());
-    pool.enter(key, 0);
+    pool.add_request(key, 0);
     assert!(pool.choose(query, Millis(0)).is_none());
-    pool.leave(key, 0);
+    pool.remove_request(key, 0);
     assert!(pool.choose(query, Millis(0)).is_some());
 }
 
@@ -381,15 +388,15 @@
 fn a_throttled_endpoint_is_not_chosen_until_the_throttling_ends() {
     let mut pool = pool(&["a", "b"]);
     let keys = ["a", "b"].map(|id| pool.key(tag(id)).unwrap());
-    pool.hold_back(keys[0], Millis(500));
+    pool.throttle(keys[0], Millis(500));
     assert_eq!(chosen(&mut pool, 100).as_deref(), Some("b"));
-    assert_eq!(pool.held_for(SERVICE, Stage::Decode, Millis(100)), None);
-    pool.hold_back(keys[1], Millis(300));
+    assert_eq!(pool.throttled_for_ms(SERVICE, Stage::Decode, Millis(100)), None);
+    pool.throttle(keys[1], Millis(300));
     assert_eq!(chosen(&mut pool, 100), None);
-    assert_eq!(pool.held_for(SERVICE, Stage::Decode, Millis(100)), Some(200));
+    assert_eq!(pool.throttled_for_ms(SERVICE, Stage::Decode, Millis(100)), Some(200));
     assert_eq!(chosen(&mut pool, 300).as_deref(), Some("b"));
-    pool.let_in(tag("a"), true, Millis(310));
-    pool.hold_back(keys[1], Millis(900));
+    pool.end_throttle(tag("a"), true, Millis(310));
+    pool.throttle(keys[1], Millis(900));
     assert_eq!(chosen(&mut pool, 310).as_deref(), Some("a"));
 }
 
@@ -397,8 +404,8 @@
 fn an_endpoint_whose_limit_was_lifted_starts_slowly() {
     let mut pool = pool(&["a", "b"]);
     let key = pool.key(tag("b")).unwrap();
-    pool.enter(key, (CAPACITY / 4) as u32);
-    pool.let_in(tag("a"), true, Millis(1_000));
+    pool.add_request(key, (CAPACITY / 4) as u32);
+    pool.end_throttle(tag("a"), true, Millis(1_000));
     assert_eq!(chosen(&mut pool, 1_010).as_deref(), Some("b"));
     assert_eq!(chosen(&mut pool, 4_000).as_deref(), Some("a"));
 }
--- a/crates/coordination/tests/slots.rs
+++ b/crates/coordination/tests/slots.rs
@@ -1,6 +1,6 @@
 //! Slots of a runner: which requests are granted one, queued, or refused.
 
-use crosslane_coordination::slots::{Allocator, Ask, Grant, Limits};
+use crosslane_coordination::slots::{Allocator, Decision, Limits, Request};
 use crosslane_state::attempt::Id;
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::request::{Class, Organisation};
@@ -12,34 +12,34 @@
 const NOW: Millis = Millis(1_000);
 
 /// Whether a slot was granted, with any expected wait.
-fn is_granted(grant: Option<Grant>) -> bool {
-    matches!(grant, Some(Grant::Granted { .. }))
+fn is_granted(grant: Option<Decision>) -> bool {
+    matches!(grant, Some(Decision::Granted { .. }))
 }
 
 fn id(sequence: u64) -> Id {
     Id { origin: Incarnation(1), sequence, round: 0 }
 }
 
-fn ask(sequence: u64) -> Ask {
-    Ask {
+fn ask(sequence: u64) -> Request {
+    Request {
         attempt: id(sequence),
         class: Class::Patient,
         organisation: Organisation(sequence),
         kv_tokens: 10,
-        patience: 10_000,
-        lead: 0,
-        hold: 1_000,
-        transfer: 0,
+        max_wait_ms: 10_000,
+        lead_ms: 0,
+        hold_ms: 1_000,
+        transfer_ms: 0,
     }
 }
 
 fn allocator(slots: u32, kv_tokens: u64) -> Allocator {
-    Allocator::new(Limits { slots, kv_tokens, ahead: false })
+    Allocator::new(Limits { slots, kv_tokens, grant_early: false })
 }
 
 struct Order {
     name: &'static str,
-    queued: Vec<Ask>,
+    queued: Vec<Request>,
     released_at: u64,
     first: u64,
 }
@@ -47,38 +47,38 @@
 #[rstest]
 #[case(Order {
     name: "quick before patient",
-    queued: vec![ask(2), Ask { class: Class::Quick, ..ask(3) }],
+    queued: vec![ask(2), Request { class: Class::Quick, ..ask(3) }],
     released_at: 10,
     first: 3,
 })]
 #[case(Order {
     name: "a patient request that waited long counts as quick and goes first",
-    queued: vec![ask(2), Ask { class: Class::Quick, patience: 20_000, ..ask(3) }],
+    queued: vec![ask(2), Request { class: Class::Quick, max_wait_ms: 20_000, ..ask(3) }],
     released_at: 6_000,
     first: 2,
 })]
 #[case(Order {
     name: "the earlier deadline first",
-    queued: vec![Ask { patience: 9_000, ..ask(2) }, Ask { patience: 8_000, ..ask(3) }],
+    queued: vec![Request { max_wait_ms: 9_000, ..ask(2) }, Request { max_wait_ms: 8_000, ..ask(3) }],
     released_at: 10,
     first: 3,
 })]
 #[case(Order {
     name: "the organisation with fewer slots first",
     queued: vec![
-        Ask { organisation: Organisation(1), patience: 8_000, ..ask(2) },
-        Ask { organisation: Organisation(7), patience: 9_000, ..ask(3) },
+        Request { organisation: Organisation(1), max_wait_ms: 8_000, ..ask(2) },
+        Request { organisation: Organisation(7), max_wait_ms: 9_000, ..ask(3) },
     ],
     released_at: 10,
     first: 3,
 })]
 fn order(#[case] case: Order) {
     let mut allocator = allocator(2, 0);
-    let holder = |sequence| Ask { organisation: Organisation(1), ..ask(sequence) };
-    assert!(is_granted(allocator.ask(holder(100), NOW)));
-    assert!(is_granted(allocator.ask(holder(101), NOW)));
+    let holder = |sequence| Request { organisation: Organisation(1), ..ask(sequence) };
+    assert!(is_granted(allocator.request_slot(holder(100), NOW)));
+    assert!(is_granted(allocator.request_slot(holder(101), NOW)));
     for waiting in &case.queued {
-        assert_eq!(allocator.ask(*waiting, NOW), None, "{}", case.name);
+        assert_eq!(allocator.request_slot(*waiting, NOW), None, "{}", case.name);
     }
     let granted = allocator.release(id(100), NOW + case.released_at);
     assert_eq!(granted, [id(case.first)], "{}", case.name);
@@ -88,19 +88,19 @@
     name: &'static str,
     slots: u32,
     kv_tokens: u64,
-    ask: Ask,
-    answer: Option<Grant>,
+    ask: Request,
+    answer: Option<Decision>,
 }
 
 #[rstest]
-#[case(Admission { name: "free", slots: 2, kv_tokens: 0, ask: ask(2), answer: Some(Grant::Granted { start_in: 0, wait: 1_000 }) })]
+#[case(Admission { name: "free", slots: 2, kv_tokens: 0, ask: ask(2), answer: Some(Decision::Granted { start_in_ms: 0, wait_ms: 1_000 }) })]
 #[case(Admission { name: "full, with a wait shorter than the limit", slots: 1, kv_tokens: 0, ask: ask(2), answer: None })]
 #[case(Admission {
     name: "full, with a wait longer than the limit",
     slots: 1,
     kv_tokens: 0,
-    ask: Ask { patience: 500, ..ask(2) },
-    answer: Some(Grant::Refused { retry_after: 1_000 }),
+    ask: Request { max_wait_ms: 500, ..ask(2) },
+    answer: Some(Decision::Refused { retry_after: 1_000 }),
 })]
 #[case(Admission {
     name: "a slot is free, but not enough memory",
@@ -111,15 +111,15 @@
 })]
 fn admission(#[case] case: Admission) {
     let mut allocator = allocator(case.slots, case.kv_tokens);
-    assert!(is_granted(allocator.ask(ask(1), NOW)));
-    assert_eq!(allocator.ask(case.ask, NOW), case.answer, "{}", case.name);
+    assert!(is_granted(allocator.request_slot(ask(1), NOW)));
+    assert_eq!(allocator.request_slot(case.ask, NOW), case.answer, "{}", case.name);
 }
 
 #[rstest]
 fn a_waiting_request_expires_at_its_deadline() {
     let mut allocator = allocator(1, 0);
-    allocator.ask(Ask { hold: 10, ..ask(1) }, NOW);
-    assert_eq!(allocator.ask(Ask { patience: 50, ..ask(2) }, NOW), None);
+    allocator.request_slot(Request { hold_ms: 10, ..ask(1) }, NOW);
+    assert_eq!(allocator.request_slot(Request { max_wait_ms: 50, ..ask(2) }, NOW), None);
     assert_eq!(allocator.expire(NOW + 49), []);
     assert_eq!(allocator.expire(NOW + 50), [id(2)]);
     assert_eq!(allocator.release(id(1), NOW + 60), []);
@@ -128,44 +128,44 @@
 #[rstest]
 fn a_runner_that_is_down_has_no_waiting_requests() {
     let mut allocator = allocator(1, 0);
-    allocator.ask(ask(1), NOW);
-    assert_eq!(allocator.ask(ask(2), NOW), None);
-    allocator.answers(false);
+    allocator.request_slot(ask(1), NOW);
+    assert_eq!(allocator.request_slot(ask(2), NOW), None);
+    allocator.set_responsive(false);
     assert_eq!(allocator.expire(NOW), [id(2)]);
-    assert!(matches!(allocator.ask(ask(3), NOW), Some(Grant::Refused { .. })));
-    allocator.answers(true);
+    assert!(matches!(allocator.request_slot(ask(3), NOW), Some(Decision::Refused { .. })));
+    allocator.set_responsive(true);
     allocator.release(id(1), NOW);
-    assert!(is_granted(allocator.ask(ask(3), NOW)));
+    assert!(is_granted(allocator.request_slot(ask(3), NOW)));
 }
 
 #[rstest]
 fn a_new_owner_adopts_attempts_while_the_engine_lists_them() {
     let mut allocator = allocator(1, 0);
     allocator.adopt(&[id(1)], NOW);
-    assert_eq!(allocator.ask(ask(2), NOW), None);
+    assert_eq!(allocator.request_slot(ask(2), NOW), None);
     allocator.adopt(&[], NOW + 10);
-    assert_eq!(allocator.serve(NOW + 10), [id(2)]);
+    assert_eq!(allocator.grant_waiting(NOW + 10), [id(2)]);
     // A list requested before the release does not restore the attempt.
     allocator.release(id(2), NOW + 20);
     allocator.adopt(&[id(2)], NOW + 30);
-    assert!(is_granted(allocator.ask(ask(3), NOW + 30)));
+    assert!(is_granted(allocator.request_slot(ask(3), NOW + 30)));
 }
 
 #[rstest]
 fn a_slot_is_granted_early_only_if_a_release_is_due() {
-    let mut allocator = Allocator::new(Limits { slots: 4, kv_tokens: 0, ahead: true });
+    let mut allocator = Allocator::new(Limits { slots: 4, kv_tokens: 0, grant_early: true });
     for sequence in 0..4 {
-        allocator.ask(ask(sequence), NOW);
+        allocator.request_slot(ask(sequence), NOW);
     }
-    let early = Ask { lead: 400, ..ask(10) };
+    let early = Request { lead_ms: 400, ..ask(10) };
     assert_eq!(
-        allocator.ask(early, NOW + 700),
+        allocator.request_slot(early, NOW + 700),
         None,
         "release due in 300 ms, later than half the lead time"
     );
-    assert_eq!(allocator.serve(NOW + 850), [id(10)], "release due in 150 ms");
+    assert_eq!(allocator.grant_waiting(NOW + 850), [id(10)], "release due in 150 ms");
     assert_eq!(
-        allocator.ask(Ask { lead: 400, ..ask(11) }, NOW + 850),
+        allocator.request_slot(Request { lead_ms: 400, ..ask(11) }, NOW + 850),
         None,
         "only one release is due"
     );
@@ -174,18 +174,19 @@
 #[rstest]
 fn a_prefill_is_delayed_to_end_when_the_link_is_free() {
     let mut allocator = allocator(8, 0);
-    let with_transfer = |sequence| Ask { lead: 100, transfer: 300, patience: 700, ..ask(sequence) };
-    let granted = |start_in_ms| Some(Grant::Granted { start_in: start_in_ms, wait: 0 });
-    assert_eq!(allocator.ask(with_transfer(1), NOW), granted(0), "link is free");
-    assert_eq!(allocator.ask(with_transfer(2), NOW), granted(300), "behind one transfer");
+    let with_transfer =
+        |sequence| Request { lead_ms: 100, transfer_ms: 300, max_wait_ms: 700, ..ask(sequence) };
+    let granted = |start_in_ms| Some(Decision::Granted { start_in_ms, wait_ms: 0 });
+    assert_eq!(allocator.request_slot(with_transfer(1), NOW), granted(0), "link is free");
+    assert_eq!(allocator.request_slot(with_transfer(2), NOW), granted(300), "behind one transfer");
     assert_eq!(
-        allocator.ask(with_transfer(3), NOW + 100),
+        allocator.request_slot(with_transfer(3), NOW + 100),
         granted(500),
         "behind the rest of two transfers"
     );
-    let refused = allocator.ask(with_transfer(4), NOW + 100);
-    assert_eq!(refused, Some(Grant::Refused { retry_after: 800 }), "the wait exceeds its limit");
-    assert!(is_granted(allocator.ask(ask(5), NOW + 100)), "no transfer");
+    let refused = allocator.request_slot(with_transfer(4), NOW + 100);
+    assert_eq!(refused, Some(Decision::Refused { retry_after: 800 }), "the wait exceeds its limit");
+    assert!(is_granted(allocator.request_slot(ask(5), NOW + 100)), "no transfer");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -224,8 +225,8 @@
                 Event::Ask(sequence, quick) => {
                     let class = if quick { Class::Quick } else { Class::Patient };
                     let attempt = id(sequence);
-                    match allocator.ask(Ask { class, ..ask(sequence) }, now) {
-                        Some(Grant::Granted { .. }) => { held.insert(attempt); }
+                    match allocator.request_slot(Request { class, ..ask(sequence) }, now) {
+                        Some(Decision::Granted { .. }) => { held.insert(attempt); }
                         Some(_) => prop_assert!(!held.contains(&attempt)),
                         None => { waiting.insert(attempt); }
                     }
@@ -240,7 +241,7 @@
                     for expired in allocator.expire(now) {
                         prop_assert!(waiting.remove(&expired), "only waiting requests expire");
                     }
-                    allocator.serve(now)
+                    allocator.grant_waiting(now)
                 }
                 Event::Wait(millis) => { now = now + millis; Vec::new() }
             };
--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -70,7 +70,7 @@
 }
 
 async fn list(node: &Node, service: &str) -> Vec<Engine> {
-    let mut engines = node.pool().keepers(service);
+    let mut engines = node.pool().cache_candidates(service);
     // A list holds up an engine's work; one that names a limit is in need.
     engines.retain(|(_, engine)| node.limits().rate(engine.tag()).is_none());
     let calls = engines.iter().map(|(_, engine)| {
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -167,7 +167,7 @@
     let stage = format!("{:?}", change.stage);
     let outcome = answer.map(|it| engine::ordered(it.status));
     if matches!(outcome, Ok(Order::Taken)) {
-        node.pool().ordered(change.key, change.stage, node.now());
+        node.pool().record_stage_order(change.key, change.stage, node.now());
         node.changed.notify_one();
     }
     match outcome {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -134,7 +134,7 @@
 impl Seat {
     /// Counts a request with its tokens of KV cache at an endpoint that was chosen for its load.
     pub fn take(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
-        node.pool().enter(key, tokens);
+        node.pool().add_request(key, tokens);
         node.updated.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
@@ -154,13 +154,13 @@
 
     /// Notes how the request ended.
     pub fn note(&self, outcome: Outcome) {
-        self.node.pool().note(self.key, outcome, self.node.now());
+        self.node.pool().record_outcome(self.key, outcome, self.node.now());
     }
 }
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.node.pool().leave(self.key, self.tokens);
+        self.node.pool().remove_request(self.key, self.tokens);
         self.node.updated.notify_one();
     }
 }
@@ -287,7 +287,7 @@
     };
     let head = Head::read(&parts, &call.ask.id);
     if let Some(load) = head.load {
-        node.pool().load(seat.key, load, node.now());
+        node.pool().record_load(seat.key, load, node.now());
     }
     // Whoever says that another one is meant names a limit of its own.
     if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -79,7 +79,7 @@
         quota::begin(node, Subject::Endpoint(endpoint));
     }
     let mut pool = node.pool();
-    pool.let_in(endpoint, change.rate.is_none(), node.now());
+    pool.end_throttle(endpoint, change.rate.is_none(), node.now());
     let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|it| it.id.as_str());
     let to = to.unwrap_or_default();
     let (per_second, before) = (told(change.rate), told(change.before));
@@ -106,7 +106,7 @@
         Ok(grant) => Ok(grant),
         Err(Over { wait_ms, source }) => {
             let mut pool = node.pool();
-            pool.hold_back(key, node.now() + wait_ms);
+            pool.throttle(key, node.now() + wait_ms);
             let to = pool.get(key).map(|it| it.id.as_str()).unwrap_or_default();
             info!(request, to, wait_ms, source:%; "{}", event::HELD_BACK);
             Err(Failure::Limited)
@@ -116,7 +116,7 @@
 
 /// Refuses a request if the limits of all endpoints that could serve it have no room.
 pub fn refusal(node: &Node, service: &str, stage: Stage) -> Option<Refusal> {
-    let wait = node.pool().held_for(service, stage, node.now())?;
+    let wait = node.pool().throttled_for_ms(service, stage, node.now())?;
     Some(Refusal::later(Reason::Limited, Duration::from_millis(wait)))
 }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -315,7 +315,7 @@
         let table = self.table();
         let cap = table.as_ref().and_then(|it| it.services.get(service)?.connections);
         let (_, nodes) = lock(&self.members).seen(self.now());
-        cap.map_or(u32::MAX, |it| connections::part(it, nodes))
+        cap.map_or(u32::MAX, |it| connections::share(it, nodes))
     }
 
     /// Counts a request for a service.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -204,7 +204,7 @@
     let limits = node.limits().digest();
     let (usage, changing) = {
         let pool = node.pool();
-        (pool.usage(now), pool.changing(now))
+        (pool.local_usage(now), pool.pending_stage_orders(now))
     };
     Heartbeat {
         vm: node.settings.vm.clone(),
@@ -256,7 +256,7 @@
         node.updated.notified().await;
         sleep(UPDATE_BATCH).await;
         let addresses = lock(&node.members).addresses(Scope::Near, node.now());
-        let usage = node.pool().updates(node.now());
+        let usage = node.pool().take_usage_delta(node.now());
         if !usage.is_empty() {
             send(&node, &socket, &Message::Update { vm: node.tag(), usage }, &addresses).await;
         }
@@ -401,7 +401,7 @@
                     send(&node, &socket, &Message::LimitsWanted, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Update { vm, usage }) => node.pool().update(vm, &usage),
+            Ok(Message::Update { vm, usage }) => node.pool().apply_usage_delta(vm, &usage),
             Ok(Message::News { ends }) => {
                 lock(&node.members).hear_news(from.ip(), ends);
                 node.hear_of(ends);
@@ -466,8 +466,8 @@
     }
     {
         let mut pool = node.pool();
-        pool.hear(Tag::of(&heard.vm), heard.usage, word.until);
-        pool.hear_changing(&heard.changing, word.until);
+        pool.apply_usage_report(Tag::of(&heard.vm), heard.usage, word.until);
+        pool.merge_stage_orders(&heard.changing, word.until);
     }
     if word.newcomer {
         send(node, socket, &Message::Heartbeat(heartbeat(node)), &[from]).await;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -120,7 +120,14 @@
         let (service, except) = (self.service, self.tried.as_slice());
         let connections = self.node.connections(service);
         let stage = Stage::Plain;
-        let query = Query { service, stage, capacity: 0, connections, room: None, except };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: 0,
+            max_connections: connections,
+            room: None,
+            exclude: except,
+        };
         let place = self.node.pool().choose(query, self.node.now())?;
         if repeats && !self.node.take_repeat(service) {
             self.node.meter.retried(Retry::DeniedBudget);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -157,7 +157,7 @@
         let Some(key) = self.answer.as_ref().map(Answer::key) else {
             return false;
         };
-        if self.moves == 0 || self.run.node.pool().usable(key) {
+        if self.moves == 0 || self.run.node.pool().is_usable(key) {
             return false;
         }
         let now = Instant::now();
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -110,7 +110,7 @@
             Reader::Decoding => None,
             Reader::Prefilling => self.first_prefill(keepers.prefilling).await?,
         };
-        if !self.node.pool().usable(hold.key) {
+        if !self.node.pool().is_usable(hold.key) {
             // It announced that it leaves while the prompt was read.
             let until = self.call.deadline.instant().min(Instant::now() + patience);
             hold = self.reserve(until, None).await?;
@@ -175,7 +175,7 @@
 
     fn reader(&self, kept: Kept) -> Reader {
         let queue = self.prefiller().map(|(_, load)| load);
-        let engines = self.node.pool().prefilling(&self.service);
+        let engines = self.node.pool().prefill_engine_count(&self.service);
         Reader::choose(kept, queue, engines)
     }
 
@@ -183,18 +183,32 @@
     fn prefiller(&self) -> Option<(Key, f64)> {
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
         let (capacity, connections) = (PREFILL_BACKLOG, self.node.connections(service));
-        let query = Query { service, stage, capacity, connections, room: None, except: &[] };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: capacity,
+            max_connections: connections,
+            room: None,
+            exclude: &[],
+        };
         self.node.pool().choose(query, self.node.now())
     }
 
     /// The best decoding engine that has room for the request, if its load is not above a share of a full
     /// one, and its load.
     pub fn decoder(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
-        let room = Some(Room { tokens: self.tokens(), below });
+        let room = Some(Room { tokens: self.tokens(), max_utilization: below });
         let (service, capacity) = (self.service.as_str(), self.engine.capacity);
         let connections = self.node.connections(service);
         let stage = Stage::Decode;
-        let query = Query { service, stage, capacity, connections, room, except };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: capacity,
+            max_connections: connections,
+            room,
+            exclude: except,
+        };
         self.node.pool().choose(query, self.node.now())
     }
 
@@ -358,7 +372,7 @@
     /// Fetches the prompt from the engine that read it, which usually keeps it: reading it again at
     /// the next engine takes 0.2 s, and its streams pause meanwhile. Nothing where no engine may be asked.
     async fn prefill_again(&self) -> Result<Option<Handle>, Failure> {
-        let keeper = self.read_at.filter(|it| self.node.pool().usable(*it));
+        let keeper = self.read_at.filter(|it| self.node.pool().is_usable(*it));
         let Some(keeper) = keeper.filter(|_| self.node.take_repeat(&self.service)) else {
             return Ok(None);
         };
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -55,10 +55,10 @@
 /// Notes and tells that an endpoint sent nothing of an attempt since a moment.
 fn told_silent(node: &Node, call: &Call, at: Key, since: Instant) {
     let mut pool = node.pool();
-    pool.note(at, Outcome::Failed, node.now());
+    pool.record_outcome(at, Outcome::Failed, node.now());
     node.meter.silences.inc();
     let to = pool.get(at).map(|it| it.id.as_str()).unwrap_or_default();
-    let (request, listed) = (call.ask.id.as_str(), pool.usable(at));
+    let (request, listed) = (call.ask.id.as_str(), pool.is_usable(at));
     let silent_ms = since.elapsed().as_millis() as u64;
     let left_ms = call.left().as_millis() as u64;
     info!(request, to, silent_ms, listed, left_ms; "{}", event::SILENT);
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -175,7 +175,7 @@
             let lost = random.random_bool(LOST);
             let update = node.update();
             if node.near && !lost {
-                pool.update(Tag::of(&node.name), &update);
+                pool.apply_usage_delta(Tag::of(&node.name), &update);
             }
             if now >= node.next {
                 node.next = now + interval.near;
@@ -184,7 +184,7 @@
                 if told && !lost {
                     let heartbeat = node.heartbeat(interval);
                     let word = members.hear(ip(place), &heartbeat, Millis(now));
-                    pool.hear(Tag::of(&node.name), heartbeat.usage, word.until);
+                    pool.apply_usage_report(Tag::of(&node.name), heartbeat.usage, word.until);
                 }
             }
         }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crosslane_coordination::fold;
 use crosslane_coordination::record::Leave;
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_state::answer::Answer;
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
@@ -54,7 +54,7 @@
     /// Exchanges heartbeats.
     async fn beat(beat: Beat) -> Beat;
     /// Asks for a slot of a runner that the callee owns.
-    async fn reserve(runner: runner::Id, ask: Ask) -> Grant;
+    async fn reserve(runner: runner::Id, ask: Request) -> Decision;
     /// Gives a slot back.
     async fn release(runner: runner::Id, attempt: attempt::Id);
     /// Which of the callee's attempts it still wants.
--- a/crates/transport/src/keeper.rs
+++ b/crates/transport/src/keeper.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crosslane_coordination::node::Node;
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_state::attempt;
 use crosslane_state::runner;
 use crosslane_state::time::Millis;
@@ -21,7 +21,7 @@
     /// Run a decision.
     Visit(Visit),
     /// Ask for a slot; the answer may come later.
-    Ask(runner::Id, Ask, oneshot::Sender<Grant>),
+    Ask(runner::Id, Request, oneshot::Sender<Decision>),
     /// Give a slot back.
     Release(runner::Id, attempt::Id),
     /// Time has passed.
@@ -39,7 +39,7 @@
 struct State {
     node: Node,
     clock: Clock,
-    pending: HashMap<attempt::Id, (runner::Id, oneshot::Sender<Grant>)>,
+    pending: HashMap<attempt::Id, (runner::Id, oneshot::Sender<Decision>)>,
 }
 
 impl Keeper {
@@ -71,10 +71,10 @@
     }
 
     /// Asks for a slot and waits for the answer.
-    pub async fn ask(&self, runner: runner::Id, ask: Ask) -> Grant {
+    pub async fn ask(&self, runner: runner::Id, ask: Request) -> Decision {
         let (reply, grant) = oneshot::channel();
         let _ = self.actor.cast(Message::Ask(runner, ask, reply));
-        grant.await.unwrap_or(Grant::NotOwner)
+        grant.await.unwrap_or(Decision::NotOwner)
     }
 
     /// Gives a slot back, or stops waiting for it.
@@ -119,7 +119,13 @@
 }
 
 impl State {
-    fn ask(&mut self, runner: runner::Id, ask: Ask, reply: oneshot::Sender<Grant>, now: Millis) {
+    fn ask(
+        &mut self,
+        runner: runner::Id,
+        ask: Request,
+        reply: oneshot::Sender<Decision>,
+        now: Millis,
+    ) {
         match self.node.ask(runner, ask, now) {
             Some(grant) => self.answer(runner, ask.attempt, reply, grant, now),
             None => {
@@ -137,7 +143,7 @@
     fn tick(&mut self, now: Millis) {
         for (attempt, retry_after) in self.node.expire(now) {
             if let Some((_, reply)) = self.pending.remove(&attempt) {
-                let _ = reply.send(Grant::Refused { retry_after });
+                let _ = reply.send(Decision::Refused { retry_after });
             }
         }
         let granted = self.node.serve(now);
@@ -153,7 +159,7 @@
     fn granted(&mut self, attempts: Vec<attempt::Id>, now: Millis) {
         for attempt in attempts {
             if let Some((runner, reply)) = self.pending.remove(&attempt) {
-                let grant = self.node.granted(runner, attempt, now).unwrap_or(Grant::NotOwner);
+                let grant = self.node.granted(runner, attempt, now).unwrap_or(Decision::NotOwner);
                 self.answer(runner, attempt, reply, grant, now);
             }
         }
@@ -164,11 +170,11 @@
         &mut self,
         runner: runner::Id,
         attempt: attempt::Id,
-        reply: oneshot::Sender<Grant>,
-        grant: Grant,
+        reply: oneshot::Sender<Decision>,
+        grant: Decision,
         now: Millis,
     ) {
-        if reply.send(grant).is_err() && matches!(grant, Grant::Granted { .. }) {
+        if reply.send(grant).is_err() && matches!(grant, Decision::Granted { .. }) {
             self.release(runner, attempt, now);
         }
     }
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -4,7 +4,7 @@
 use crate::node::Shared;
 use crosslane_coordination::detector::Belief;
 use crosslane_coordination::node::{Node, Wanted};
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_protocol::peer::PeerClient;
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::runner::{Id, Runner};
@@ -40,7 +40,7 @@
 }
 
 /// Takes a slot of one of the runners that will do.
-pub async fn take(shared: &Shared, wanted: Wanted<'_>, ask: Ask) -> Result<Slot, Error> {
+pub async fn take(shared: &Shared, wanted: Wanted<'_>, ask: Request) -> Result<Slot, Error> {
     let mut refused: Option<u64> = None;
     let mut avoid = Vec::new();
     for _ in 0..CANDIDATES {
@@ -74,7 +74,11 @@
 }
 
 /// Reserves a slot with the runner's owner, or goes on by estimate without it.
-async fn reserve(shared: &Shared, runner: Id, ask: Ask) -> Result<(Option<Incarnation>, u64), u64> {
+async fn reserve(
+    shared: &Shared,
+    runner: Id,
+    ask: Request,
+) -> Result<(Option<Incarnation>, u64), u64> {
     if !shared.settings.placement.reserve {
         return Ok((None, 0));
     }
@@ -82,15 +86,15 @@
     let grant = match owner {
         Some(owner) if owner == shared.me => shared.keeper.ask(runner, ask).await,
         Some(owner) => ask_owner(shared, owner, runner, ask).await,
-        None => Grant::NotOwner,
+        None => Decision::NotOwner,
     };
     match grant {
-        Grant::Granted { start_in, wait } => {
+        Decision::Granted { start_in_ms: start_in, wait_ms: wait } => {
             shared.keeper.visit(move |node, _| node.board.told(runner, wait)).await;
             Ok((owner, start_in))
         }
-        Grant::Refused { retry_after } => Err(retry_after),
-        Grant::NotOwner => {
+        Decision::Refused { retry_after } => Err(retry_after),
+        Decision::NotOwner => {
             shared.metrics.count(Counter::SlotEstimated);
             Ok((None, 0))
         }
@@ -98,16 +102,16 @@
 }
 
 /// Asks a runner's owner, for as long as it lives.
-async fn ask_owner(shared: &Shared, owner: Incarnation, runner: Id, ask: Ask) -> Grant {
+async fn ask_owner(shared: &Shared, owner: Incarnation, runner: Id, ask: Request) -> Decision {
     let Some(member) = shared.member(owner).await else {
-        return Grant::NotOwner;
+        return Decision::NotOwner;
     };
-    let limit = Duration::from_millis(ask.patience + ask.lead) + OWNER_LOOK;
+    let limit = Duration::from_millis(ask.max_wait_ms + ask.lead_ms) + OWNER_LOOK;
     let call =
         |client: PeerClient, context| async move { client.reserve(context, runner, ask).await };
     tokio::select! {
-        grant = shared.peers.call(member.control, limit, call) => grant.unwrap_or(Grant::NotOwner),
-        () = silence(shared, owner) => Grant::NotOwner,
+        grant = shared.peers.call(member.control, limit, call) => grant.unwrap_or(Decision::NotOwner),
+        () = silence(shared, owner) => Decision::NotOwner,
     }
 }
 
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -4,7 +4,7 @@
 use crate::node::{Phase, Shared};
 use crate::peers::FRAME_BYTES;
 use crosslane_coordination::node::Node;
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_protocol::peer::{Beat, Ending, Peer, Snapshot};
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
@@ -51,7 +51,7 @@
         crate::pulse::beat(&self.shared).await
     }
 
-    async fn reserve(self, _: Context, runner: runner::Id, ask: Ask) -> Grant {
+    async fn reserve(self, _: Context, runner: runner::Id, ask: Request) -> Decision {
         self.shared.keeper.ask(runner, ask).await
     }
 
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use crosslane_coordination::node::{Node, Wanted};
 use crosslane_coordination::retry::{self, Denial};
-use crosslane_coordination::slots::Ask;
+use crosslane_coordination::slots::Request;
 use crosslane_coordination::splice::{Piece, Splice};
 use crosslane_protocol::completion::Completion;
 use crosslane_protocol::engine::{Decode, Import, Line, Prefill};
@@ -163,7 +163,11 @@
         let lead = self.prefill_millis(tokens);
         let hold = lead + max_tokens * self.shared.settings.placement.token_millis;
         let transfer = self.transfer_millis(tokens);
-        let ask = Ask { lead, transfer, ..self.ask(attempt, tokens, tokens + max_tokens, hold) };
+        let ask = Request {
+            lead_ms: lead,
+            transfer_ms: transfer,
+            ..self.ask(attempt, tokens, tokens + max_tokens, hold)
+        };
         let Slot { runner, owner, start_in } = self.take(Role::Decode, ask).await?;
         holds.decode = Some(Hold { runner: runner.clone(), owner, touched: false });
         tokio::time::sleep(Duration::from_millis(start_in)).await;
@@ -185,28 +189,28 @@
     }
 
     /// An ask whose patience leaves time for prefill, transfer and the first output.
-    fn ask(&self, attempt: attempt::Id, tokens: u64, kv_tokens: u64, hold: u64) -> Ask {
+    fn ask(&self, attempt: attempt::Id, tokens: u64, kv_tokens: u64, hold: u64) -> Request {
         let work = self.prefill_millis(tokens) + self.transfer_millis(tokens);
         let first = self.shared.settings.placement.token_millis;
-        Ask {
+        Request {
             attempt,
             class: self.job.verdict.class,
             organisation: self.job.organisation,
             kv_tokens,
-            patience: self.left().saturating_sub(work + first),
-            lead: 0,
-            hold,
-            transfer: 0,
+            max_wait_ms: self.left().saturating_sub(work + first),
+            lead_ms: 0,
+            hold_ms: hold,
+            transfer_ms: 0,
         }
     }
 
-    async fn take(&self, role: Role, ask: Ask) -> Result<Slot, Failure> {
+    async fn take(&self, role: Role, ask: Request) -> Result<Slot, Failure> {
         let wanted = Wanted {
             role,
             serves: &self.job.completion.model,
             domains: &self.job.verdict.domains,
             avoid: &[],
-            work: ask.hold,
+            work: ask.hold_ms,
         };
         reserve::take(&self.shared, wanted, ask).await.map_err(|error| match error {
             reserve::Error::NoRunner => Failure::NoRunner,
