--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -44,7 +44,8 @@
     let mut chooser = Chooser::new(mode, 1);
     bencher.bench_local(|| {
         let keys = table.pool(Role::Decode, "reply");
-        let query = Query { pool: keys, table: &table, board: &board, work: 100, now: Millis(1) };
+        let query =
+            Query { pool: keys, table: &table, board: &board, hold_ms: 100, now: Millis(1) };
         let chosen = chooser.choose(black_box(query), |_| true);
         if let Some(id) = chosen {
             board.sent(id);
@@ -110,7 +111,8 @@
     let mut chooser = Chooser::new(mode, 1);
     for _ in 0..SIZE * 10 {
         let keys = table.pool(Role::Decode, "reply");
-        let query = Query { pool: keys, table: &table, board: &board, work: 100, now: Millis(1) };
+        let query =
+            Query { pool: keys, table: &table, board: &board, hold_ms: 100, now: Millis(1) };
         if let Some(id) = chooser.choose(query, |_| true) {
             board.sent(id);
         }
--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -20,7 +20,7 @@
 use std::collections::VecDeque;
 
 /// Utilization above which an engine is considered full.
-pub const FULL: f64 = 1.0;
+pub const FULL_UTILIZATION: f64 = 1.0;
 
 /// The same for callers that were refused before. The reserve above it is one or two streams per
 /// engine, enough for the callers on time that arrive next.
@@ -56,18 +56,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// Latency target of the first event, in milliseconds.
-    pub target: u64,
+    pub target_ms: u64,
     /// Longest time without an event before the caller gives up, in milliseconds.
-    pub silence: u64,
+    pub max_silence_ms: u64,
     /// Time spent on earlier tries, in milliseconds.
-    pub spent: u64,
+    pub spent_ms: u64,
     /// Whether it resumes a stream of which it has a part.
     pub resumes: bool,
 }
 
 /// Admission class of a caller: whether it can still be answered on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Tier {
     /// A first try.
     OnTime,
     /// A retry after a refusal.
@@ -76,9 +76,9 @@
     Resumed,
 }
 
-impl From<&Caller> for Standing {
+impl From<&Caller> for Tier {
     fn from(caller: &Caller) -> Self {
-        let delayed = caller.spent as f64 > caller.target as f64 * LOST_TIME_SHARE;
+        let delayed = caller.spent_ms as f64 > caller.target_ms as f64 * LOST_TIME_SHARE;
         match (caller.resumes, delayed) {
             (true, _) => Self::Resumed,
             (false, true) => Self::Late,
@@ -87,23 +87,23 @@
     }
 }
 
-impl Standing {
+impl Tier {
     /// Utilization above which an engine is considered full for this class.
-    pub fn full(self) -> f64 {
+    pub fn max_utilization(self) -> f64 {
         match self {
-            Self::OnTime => FULL,
+            Self::OnTime => FULL_UTILIZATION,
             Self::Late => LATE_MAX_UTILIZATION,
             Self::Resumed => RESUMED_MAX_UTILIZATION,
         }
     }
 
     /// Longest wait for memory, in milliseconds.
-    pub fn wait(self, caller: &Caller) -> u64 {
-        let target = caller.target as f64;
+    pub fn max_wait_ms(self, caller: &Caller) -> u64 {
+        let target = caller.target_ms as f64;
         match self {
             Self::OnTime => (target * ON_TIME_WAIT_SHARE) as u64,
             Self::Late | Self::Resumed => {
-                caller.silence.saturating_sub((target * FIRST_EVENT_SHARE) as u64)
+                caller.max_silence_ms.saturating_sub((target * FIRST_EVENT_SHARE) as u64)
             }
         }
     }
@@ -111,8 +111,8 @@
 
 /// Longest wait for memory to resume a broken stream, in milliseconds: half of the caller's silence
 /// timeout. A silent engine is detected within the other half.
-pub fn resume_wait(caller: &Caller) -> u64 {
-    caller.silence / 2
+pub fn resume_wait_ms(caller: &Caller) -> u64 {
+    caller.max_silence_ms / 2
 }
 
 /// Timeouts that the callers of a route sent recently, from which it follows which caller has used up
@@ -124,14 +124,14 @@
 /// spread of first tries is therefore estimated: they form the upper part of the values, and are
 /// assumed to lie symmetrically around their middle.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct Timeouts {
     samples: VecDeque<(Millis, u64)>,
 }
 
-impl Patience {
+impl Timeouts {
     /// Time that a caller with this timeout spent on earlier tries, in milliseconds; zero if the
     /// timeout may be that of a first try.
-    pub fn spent(&mut self, patience: u64, now: Millis) -> u64 {
+    pub fn spent_ms(&mut self, patience: u64, now: Millis) -> u64 {
         self.samples.push_back((now, patience));
         while self.samples.len() > MAX_SAMPLES
             || self.samples.front().is_some_and(|sample| now.since(sample.0) >= HISTORY_MS)
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -15,7 +15,7 @@
     /// Another node claimed the key.
     Claimed,
     /// A node that owned the key has departed, and not all of its claims are known here yet.
-    Unsettled,
+    ClaimsIncomplete,
 }
 
 /// A member whose departure is in the log.
@@ -62,18 +62,23 @@
     }
 
     /// Whether the first claim on a key was made by a node other than `by`.
-    pub fn by_other(&self, key: u64, by: Incarnation) -> bool {
+    pub fn claimed_by_other(&self, key: u64, by: Incarnation) -> bool {
         self.first_claims.get(&key).is_some_and(|first| *first != by)
     }
 
     /// Records a departure; `claims_collected` if the node handed over all its state.
-    pub fn departed(&mut self, incarnation: Incarnation, claims_collected: bool, now: Millis) {
+    pub fn record_departure(
+        &mut self,
+        incarnation: Incarnation,
+        claims_collected: bool,
+        now: Millis,
+    ) {
         self.departures.retain(|departed| now.since(departed.at) < self.window_millis);
         self.departures.push(Departed { incarnation, at: now, claims_collected });
     }
 
     /// Departed nodes whose claims have not all been collected.
-    pub fn unsettled(&self) -> Vec<Incarnation> {
+    pub fn uncollected(&self) -> Vec<Incarnation> {
         self.departures
             .iter()
             .filter(|departed| !departed.claims_collected)
@@ -82,7 +87,7 @@
     }
 
     /// Records that all claims of a departed node are known here.
-    pub fn settle(&mut self, incarnation: Incarnation) {
+    pub fn mark_collected(&mut self, incarnation: Incarnation) {
         for departed in
             self.departures.iter_mut().filter(|departed| departed.incarnation == incarnation)
         {
@@ -92,13 +97,13 @@
 
     /// Why the node `at` must not run a key now, if there is a reason.
     pub fn doubt(&self, key: u64, at: Incarnation) -> Option<Doubt> {
-        if self.by_other(key, at) {
+        if self.claimed_by_other(key, at) {
             return Some(Doubt::Claimed);
         }
         let weight = hash::weight(key, at.0);
         let ranked_higher =
             |departed: &&Departed| hash::weight(key, departed.incarnation.0) > weight;
         let mut unsettled = self.departures.iter().filter(|departed| !departed.claims_collected);
-        unsettled.find(ranked_higher).map(|_| Doubt::Unsettled)
+        unsettled.find(ranked_higher).map(|_| Doubt::ClaimsIncomplete)
     }
 }
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -20,15 +20,15 @@
 /// Outcome of a publication.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum Outcome {
     /// It was applied as this version.
     #[serde(rename = "counted")]
     #[display("counted as version {_0}")]
-    Counted(Version),
+    Applied(Version),
     /// Another publication came first; this version was in force.
     #[serde(rename = "lost")]
     #[display("lost the race: version {_0} came first")]
-    Lost(Version),
+    Conflict(Version),
     /// It was withdrawn before it was accepted.
     #[display("withdrawn")]
     Withdrawn,
@@ -52,36 +52,36 @@
 pub struct State {
     /// Offset of the next record to fold.
     #[serde(rename = "next")]
-    pub next: u64,
+    pub next_offset: u64,
     /// Member nodes.
     pub roster: Roster,
     /// Announcements of leaving VMs, by VM.
     pub leaving: BTreeMap<String, Leave>,
     /// Ids of announcements that have ended, oldest first.
     #[serde(rename = "ended")]
-    pub ended: VecDeque<String>,
+    pub ended_leaves: VecDeque<String>,
     /// Departed nodes that handed over all their state.
     pub released: BTreeSet<Incarnation>,
     /// Applied publications, oldest first.
     pub history: VecDeque<Publication>,
     /// Outcome of each publication, oldest first.
     #[serde(rename = "verdicts")]
-    pub verdicts: VecDeque<(String, Verdict)>,
+    pub outcomes: VecDeque<(String, Outcome)>,
     /// Offset of the last checkpoint.
     #[serde(rename = "checkpoint")]
-    pub checkpoint: u64,
+    pub checkpoint_offset: u64,
 }
 
 impl State {
     /// Folds the record at an offset. A record that was already folded has no effect.
     pub fn fold(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
-        if offset < self.next {
+        if offset < self.next_offset {
             return Ok(());
         }
-        if offset > self.next {
+        if offset > self.next_offset {
             return self.restore(offset, record);
         }
-        self.next = offset + 1;
+        self.next_offset = offset + 1;
         if let Some(record) = record {
             self.apply(record);
         }
@@ -99,24 +99,24 @@
     }
 
     /// Outcome of a publication.
-    pub fn verdict(&self, id: &str) -> Option<&Verdict> {
-        self.verdicts.iter().rev().find(|(known, _)| known == id).map(|(_, verdict)| verdict)
+    pub fn outcome(&self, id: &str) -> Option<&Outcome> {
+        self.outcomes.iter().rev().find(|(known, _)| known == id).map(|(_, verdict)| verdict)
     }
 
     /// An announcement with its node filled in, if the VM has a member.
-    pub fn stamped(&self, leave: Leave) -> Leave {
+    pub fn with_node(&self, leave: Leave) -> Leave {
         let member = self.roster.iter().find(|member| member.vm == leave.vm);
         let node = leave.node.or(member.map(|found| found.incarnation));
         Leave { node, ..leave }
     }
 
     /// Whether an announcement still applies: no longer once its node was replaced.
-    pub fn stands(&self, leave: &Leave) -> bool {
+    pub fn is_current(&self, leave: &Leave) -> bool {
         leave.node.is_none_or(|node| self.roster.get(node).is_some())
     }
 
     /// Failure domains that have not confirmed the newest version.
-    pub fn missing(&self) -> BTreeSet<String> {
+    pub fn unconfirmed_domains(&self) -> BTreeSet<String> {
         let Some(newest) = self.history.back().filter(|publication| !publication.accepted) else {
             return BTreeSet::new();
         };
@@ -131,11 +131,11 @@
     /// Replaces the state by that of a checkpoint after a gap; folding continues at its next offset.
     fn restore(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
         match record {
-            Some(Record::Checkpoint { state }) if state.next > self.next => {
+            Some(Record::Checkpoint { state }) if state.next_offset > self.next_offset => {
                 *self = *state;
                 Ok(())
             }
-            _ => Err(Error::Gap { expected: self.next, found: offset }),
+            _ => Err(Error::Gap { expected: self.next_offset, found: offset }),
         }
     }
 
@@ -156,8 +156,8 @@
                 self.accept_if_confirmed();
             }
             Record::Leave { leave } => {
-                let leave = self.stamped(leave);
-                if !self.ended.contains(&leave.id) {
+                let leave = self.with_node(leave);
+                if !self.ended_leaves.contains(&leave.id) {
                     self.leaving.insert(leave.vm.clone(), leave);
                 }
             }
@@ -167,29 +167,29 @@
             }
             Record::Withdraw { publication } => self.withdraw(&publication),
             Record::Confirm { version, domain } => self.confirm(version, domain),
-            Record::Checkpoint { .. } => self.checkpoint = self.next - 1,
+            Record::Checkpoint { .. } => self.checkpoint_offset = self.next_offset - 1,
         }
     }
 
     fn end_leave(&mut self, vm: &str) {
         if let Some(leave) = self.leaving.remove(vm) {
-            self.ended.push_back(leave.id);
-            if self.ended.len() > MAX_REMEMBERED {
-                self.ended.pop_front();
+            self.ended_leaves.push_back(leave.id);
+            if self.ended_leaves.len() > MAX_REMEMBERED {
+                self.ended_leaves.pop_front();
             }
         }
     }
 
     fn publish(&mut self, id: String, base: Version, program: String, author: String) {
-        if self.verdict(&id).is_some() {
+        if self.outcome(&id).is_some() {
             return;
         }
         if base != self.version() {
-            self.record_outcome(id, Verdict::Lost(self.version()));
+            self.record_outcome(id, Outcome::Conflict(self.version()));
             return;
         }
         let version = Version(base.0 + 1);
-        self.record_outcome(id.clone(), Verdict::Counted(version));
+        self.record_outcome(id.clone(), Outcome::Applied(version));
         self.push_publication(Publication {
             id,
             version,
@@ -211,8 +211,8 @@
         let author = newest.author.clone();
         let previous =
             self.history.iter().rev().nth(1).map(|publication| publication.program.clone());
-        if let Some(entry) = self.verdicts.iter_mut().find(|(known, _)| known == id) {
-            entry.1 = Verdict::Withdrawn;
+        if let Some(entry) = self.outcomes.iter_mut().find(|(known, _)| known == id) {
+            entry.1 = Outcome::Withdrawn;
         }
         self.push_publication(Publication {
             id: format!("{id}/withdrawn"),
@@ -250,10 +250,10 @@
         }
     }
 
-    fn record_outcome(&mut self, id: String, verdict: Verdict) {
-        self.verdicts.push_back((id, verdict));
-        if self.verdicts.len() > MAX_REMEMBERED {
-            self.verdicts.pop_front();
+    fn record_outcome(&mut self, id: String, verdict: Outcome) {
+        self.outcomes.push_back((id, verdict));
+        if self.outcomes.len() > MAX_REMEMBERED {
+            self.outcomes.pop_front();
         }
     }
 }
--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -15,17 +15,17 @@
 use std::sync::Arc;
 
 /// Most owners to which a request is forwarded, one after another.
-pub const MOST_FORWARDS: usize = 4;
+pub const MAX_FORWARDS: usize = 4;
 
 /// Next step of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Ask a node to release the key.
-    Inquire(Incarnation),
+    RequestRelease(Incarnation),
     /// Forward the request to a node.
     Forward(Incarnation),
     /// Answer the node that forwarded the request with the owner to try instead.
-    Name(Incarnation),
+    Redirect(Incarnation),
     /// Run it here.
     Run,
     /// Wait for the run in progress here.
@@ -53,22 +53,22 @@
 
 /// Result of asking a node to release a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inquired {
+pub enum ReleaseReply {
     /// The node does not know the key and has released it.
-    Free,
+    Released,
     /// The node knows the key.
-    Known,
+    Held,
     /// The node did not answer.
-    Silent,
+    NoReply,
 }
 
 /// Result of a forward that was not answered with a reply to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Forwarded {
+pub enum ForwardOutcome {
     /// The node named another owner.
-    Named(Incarnation),
+    Redirected(Incarnation),
     /// The node did not receive the request.
-    Unreached,
+    NotDelivered,
     /// The node may have received the request, but the reply was lost.
     Lost,
 }
@@ -84,7 +84,7 @@
     to_ask: Vec<Incarnation>,
     released: Vec<Incarnation>,
     release_mark: u64,
-    forwards: Vec<Incarnation>,
+    redirected_by: Vec<Incarnation>,
 }
 
 impl Flow {
@@ -99,12 +99,12 @@
             to_ask: Vec::new(),
             released: Vec::new(),
             release_mark: 0,
-            forwards: Vec::new(),
+            redirected_by: Vec::new(),
         }
     }
 
     /// The same request, but received from another node, with the nodes that have released its key.
-    pub fn forwarded_past(self, released_by: Vec<Incarnation>) -> Self {
+    pub fn into_forwarded(self, released_by: Vec<Incarnation>) -> Self {
         Self { forwarded_here: true, released_by, ..self }
     }
 
@@ -114,84 +114,86 @@
     }
 
     /// Nodes that named another owner when the request was forwarded to them.
-    pub fn forwards(&self) -> &[Incarnation] {
-        &self.forwards
+    pub fn redirected_by(&self) -> &[Incarnation] {
+        &self.redirected_by
     }
 
     /// Returns the first step.
     pub fn start(&mut self, node: &mut Node, now: Millis) -> Step {
-        if node.ledger.knows(&self.key) {
+        if node.ledger.contains(&self.key) {
             return self.begin(node, now);
         }
         if self.key.minted_by().is_some() {
             return Step::Refuse(Refusal::Unknown);
         }
-        self.release_mark = node.ledger.releases();
+        self.release_mark = node.ledger.release_count();
         self.released.clear();
         match node.route(&self.key, &self.released_by, now) {
-            Route::Here { ask: mut to_ask } => {
+            Route::Local { ask: mut to_ask } => {
                 to_ask.reverse();
                 self.to_ask = to_ask;
                 self.ask_next(node, now)
             }
-            Route::There(owner) => {
+            Route::Remote(owner) => {
                 if self.forwarded_here {
                     node.ledger.release(&self.key, owner, now);
                 }
                 self.hand_to(owner)
             }
-            Route::Nowhere => Step::Refuse(Refusal::Unreachable),
+            Route::NoOwner => Step::Refuse(Refusal::Unreachable),
         }
     }
 
     /// Returns the next step after a node was asked to release the key.
-    pub fn inquired(
+    pub fn on_release_reply(
         &mut self,
         by: Incarnation,
-        inquired: Inquired,
+        inquired: ReleaseReply,
         node: &mut Node,
         now: Millis,
     ) -> Step {
         match inquired {
-            Inquired::Known => return self.hand_to(by),
-            Inquired::Silent if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
-            Inquired::Silent | Inquired::Free => self.released.push(by),
+            ReleaseReply::Held => return self.hand_to(by),
+            ReleaseReply::NoReply if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
+            ReleaseReply::NoReply | ReleaseReply::Released => self.released.push(by),
         }
         self.ask_next(node, now)
     }
 
     /// Returns the next step after a forward that was not answered.
-    pub fn forwarded(
+    pub fn on_forward_outcome(
         &mut self,
         to: Incarnation,
-        forwarded: Forwarded,
+        forwarded: ForwardOutcome,
         node: &mut Node,
         now: Millis,
     ) -> Step {
         match forwarded {
-            Forwarded::Named(_) if self.forwards.len() >= MOST_FORWARDS => {
+            ForwardOutcome::Redirected(_) if self.redirected_by.len() >= MAX_FORWARDS => {
                 Step::Refuse(Refusal::Unreachable)
             }
-            Forwarded::Named(owner) if owner == node.options().me => {
-                self.forwards.push(to);
+            ForwardOutcome::Redirected(owner) if owner == node.options().incarnation => {
+                self.redirected_by.push(to);
                 self.released_by.push(to);
                 self.start(node, now)
             }
-            Forwarded::Named(owner) => {
-                self.forwards.push(to);
+            ForwardOutcome::Redirected(owner) => {
+                self.redirected_by.push(to);
                 Step::Forward(owner)
             }
-            Forwarded::Unreached | Forwarded::Lost if self.repeatable => {
+            ForwardOutcome::NotDelivered | ForwardOutcome::Lost if self.repeatable => {
                 node.ledger.reclaim(&self.key, u64::MAX, |holder| holder == to);
                 self.begin(node, now)
             }
-            Forwarded::Unreached | Forwarded::Lost => Step::Refuse(Refusal::Unreachable),
+            ForwardOutcome::NotDelivered | ForwardOutcome::Lost => {
+                Step::Refuse(Refusal::Unreachable)
+            }
         }
     }
 
     fn ask_next(&mut self, node: &mut Node, now: Millis) -> Step {
         if let Some(next) = self.to_ask.pop() {
-            return Step::Inquire(next);
+            return Step::RequestRelease(next);
         }
         let released = &self.released;
         node.ledger.reclaim(&self.key, self.release_mark, |holder| released.contains(&holder));
@@ -201,10 +203,10 @@
     }
 
     fn begin(&mut self, node: &mut Node, now: Millis) -> Step {
-        if !self.repeatable && !node.ledger.knows(&self.key) {
+        if !self.repeatable && !node.ledger.contains(&self.key) {
             match node.doubt(&self.key) {
                 Some(Doubt::Claimed) => return Step::Refuse(Refusal::Unknown),
-                Some(Doubt::Unsettled) => return Step::Refuse(Refusal::InDoubt),
+                Some(Doubt::ClaimsIncomplete) => return Step::Refuse(Refusal::InDoubt),
                 None => {}
             }
         }
@@ -220,6 +222,6 @@
     }
 
     fn hand_to(&self, owner: Incarnation) -> Step {
-        if self.forwarded_here { Step::Name(owner) } else { Step::Forward(owner) }
+        if self.forwarded_here { Step::Redirect(owner) } else { Step::Forward(owner) }
     }
 }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -81,7 +81,7 @@
     answered_queue: VecDeque<(Millis, Key)>,
     tombstone_queue: VecDeque<(Millis, Key)>,
     bytes: usize,
-    releases: u64,
+    release_count: u64,
 }
 
 impl Ledger {
@@ -93,7 +93,7 @@
             answered_queue: VecDeque::new(),
             tombstone_queue: VecDeque::new(),
             bytes: 0,
-            releases: 0,
+            release_count: 0,
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Whether a request with this key is running, has an answer or may have run here.
-    pub fn knows(&self, key: &Key) -> bool {
+    pub fn contains(&self, key: &Key) -> bool {
         self.entries.get(key).is_some_and(|entry| !matches!(entry.phase, Phase::Released { .. }))
     }
 
@@ -127,7 +127,7 @@
                 self.bytes += answer.bytes();
                 entry.phase = Phase::Answered(answer);
                 self.answered_queue.push_back((now, key.clone()));
-                self.trim(now);
+                self.evict(now);
             }
             End::Unknown if !entry.repeatable => self.make_tombstone(key, now),
             End::Unknown | End::NotRun => {
@@ -138,11 +138,11 @@
 
     /// Releases a key to another node. Returns false if the key is known here, and keeps it.
     pub fn release(&mut self, key: &Key, to: Incarnation, now: Millis) -> bool {
-        if self.knows(key) {
+        if self.contains(key) {
             return false;
         }
-        self.releases += 1;
-        let phase = Phase::Released { to, order: self.releases };
+        self.release_count += 1;
+        let phase = Phase::Released { to, order: self.release_count };
         let entry = Entry { fingerprint: 0, repeatable: true, phase, updated_at: now };
         if self.entries.insert(key.clone(), entry).is_none() {
             self.tombstone_queue.push_back((now, key.clone()));
@@ -151,8 +151,8 @@
     }
 
     /// Number of releases so far.
-    pub fn releases(&self) -> u64 {
-        self.releases
+    pub fn release_count(&self) -> u64 {
+        self.release_count
     }
 
     /// Takes back a key that was released to a node which has released it in turn, as told by
@@ -193,7 +193,7 @@
     }
 
     /// Evicts answers and tombstones that exceed their age or bounds.
-    pub fn trim(&mut self, now: Millis) {
+    pub fn evict(&mut self, now: Millis) {
         while let Some((at, key)) = self.answered_queue.front().cloned() {
             let over_limit =
                 self.answered_queue.len() > self.limits.answers || self.bytes > self.limits.bytes;
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Incarnation of this node.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: String,
     /// Runners it may use.
@@ -43,7 +43,7 @@
     /// Number of nodes to send heartbeats to.
     pub neighbours: usize,
     /// Whether slots are granted ahead of predicted releases.
-    pub ahead: bool,
+    pub grant_early: bool,
     /// Bounds of the idempotency records.
     pub ledger: ledger::Limits,
     /// Seed of all random choices.
@@ -57,7 +57,7 @@
 
 /// Requirements on the runner of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct Requirements<'a> {
     /// Role of the runner.
     pub role: Role,
     /// Model or path prefix that it serves.
@@ -65,23 +65,23 @@
     /// Allowed failure domains; empty for all.
     pub domains: &'a [String],
     /// Runners that were already tried.
-    pub avoid: &'a [Id],
+    pub exclude: &'a [Id],
     /// Expected time that the request holds a slot, in milliseconds.
-    pub work: u64,
+    pub hold_ms: u64,
 }
 
 /// Node that handles a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
     /// This node, after these nodes have released the key.
-    Here {
+    Local {
         /// Nodes that may know the key.
         ask: Vec<Incarnation>,
     },
     /// Another node.
-    There(Incarnation),
+    Remote(Incarnation),
     /// None: every member has released the key.
-    Nowhere,
+    NoOwner,
 }
 
 /// Decisions of one node, with the state that they depend on.
@@ -143,7 +143,7 @@
             self.policy_versions.remove(&incarnation);
             self.detector.forget(incarnation);
             let handed_over = self.state.released.contains(&incarnation);
-            self.claims.departed(incarnation, handed_over, now);
+            self.claims.record_departure(incarnation, handed_over, now);
         }
         for member in members {
             self.first_seen.entry(member).or_insert(now);
@@ -153,7 +153,7 @@
         neighbours.into_iter().for_each(|neighbour| self.detector.watch(neighbour, now));
         let state = &self.state;
         self.gossiped_leaves
-            .retain(|_, leave| !state.ended.contains(&leave.id) && state.stands(leave));
+            .retain(|_, leave| !state.ended_leaves.contains(&leave.id) && state.is_current(leave));
         let roster = &self.state.roster;
         self.provisional
             .retain(|_, newcomer| !roster.iter().any(|member| supersedes(member, newcomer)));
@@ -162,7 +162,7 @@
     }
 
     /// Adds a node whose join is not in the log, for instance during an outage of the log.
-    pub fn welcome(&mut self, newcomer: Member, now: Millis) {
+    pub fn add_provisional(&mut self, newcomer: Member, now: Millis) {
         let known = |member: &Member| supersedes(member, &newcomer);
         if self.state.roster.iter().any(known) || self.provisional.values().any(known) {
             return;
@@ -173,12 +173,12 @@
     }
 
     /// Nodes whose joins are not in the log.
-    pub fn guests(&self) -> Vec<Member> {
+    pub fn provisional_members(&self) -> Vec<Member> {
         self.provisional.values().cloned().collect()
     }
 
     /// Records that other nodes confirmed the death of a node.
-    pub fn bury(&mut self, node: Incarnation, now: Millis) {
+    pub fn confirm_dead(&mut self, node: Incarnation, now: Millis) {
         self.detector.confirm(node, now);
         if self.provisional.remove(&node).is_some() {
             self.detector.forget(node);
@@ -191,9 +191,9 @@
     }
 
     /// Adds a leave announcement received outside the log. Returns whether it was new.
-    pub fn tell(&mut self, leave: Leave) -> bool {
-        let leave = self.state.stamped(leave);
-        if self.state.ended.contains(&leave.id) || self.is_leaving(&leave.vm) {
+    pub fn add_leave(&mut self, leave: Leave) -> bool {
+        let leave = self.state.with_node(leave);
+        if self.state.ended_leaves.contains(&leave.id) || self.is_leaving(&leave.vm) {
             return false;
         }
         self.gossiped_leaves.insert(leave.vm.clone(), leave);
@@ -212,7 +212,7 @@
     }
 
     /// Leave announcements that are not in the log yet.
-    pub fn untold(&self) -> Vec<Leave> {
+    pub fn unlogged_leaves(&self) -> Vec<Leave> {
         let known = |leave: &&Leave| !self.state.leaving.contains_key(&leave.vm);
         self.gossiped_leaves.values().filter(known).cloned().collect()
     }
@@ -220,33 +220,33 @@
     /// Whether a VM is announced as leaving.
     pub fn is_leaving(&self, vm: &str) -> bool {
         let announced = self.gossiped_leaves.get(vm).or_else(|| self.state.leaving.get(vm));
-        announced.is_some_and(|leave| self.state.stands(leave))
+        announced.is_some_and(|leave| self.state.is_current(leave))
     }
 
     /// Whether a member's VM is announced as leaving.
-    pub fn member_leaving(&self, incarnation: Incarnation) -> bool {
+    pub fn is_member_leaving(&self, incarnation: Incarnation) -> bool {
         self.state.roster.get(incarnation).is_some_and(|member| self.is_leaving(&member.vm))
     }
 
     /// Time since a member was first seen, in milliseconds.
-    pub fn member_age(&self, member: Incarnation, now: Millis) -> u64 {
+    pub fn member_age_ms(&self, member: Incarnation, now: Millis) -> u64 {
         self.first_seen.get(&member).map_or(0, |seen| now.since(*seen))
     }
 
     /// Whether this node is the one to record the departure of a member whose VM is gone. The failure
     /// detector watches that member from now on.
-    pub fn departure_due(&mut self, departed: Incarnation, now: Millis) -> bool {
-        if departed != self.options.me {
+    pub fn should_record_departure(&mut self, departed: Incarnation, now: Millis) -> bool {
+        if departed != self.options.incarnation {
             self.detector.watch(departed, now);
         }
         let alive = |member| member != departed && self.belief(member, now) == Belief::Alive;
         self.belief(departed, now) != Belief::Alive
-            && self.state.roster.owner(departed.0, alive) == Some(self.options.me)
+            && self.state.roster.owner(departed.0, alive) == Some(self.options.incarnation)
     }
 
     /// Nodes to send heartbeats to.
     pub fn neighbours(&self) -> Vec<&Member> {
-        let this_node = self.options.me;
+        let this_node = self.options.incarnation;
         let mut neighbours = self.state.roster.neighbours(this_node, self.options.neighbours);
         neighbours
             .extend(self.provisional.values().filter(|newcomer| newcomer.incarnation != this_node));
@@ -255,12 +255,12 @@
 
     /// The node that grants a runner's slots.
     pub fn owner(&self, runner: Id) -> Option<Incarnation> {
-        self.state.roster.owner(runner.0, |member| !self.member_leaving(member))
+        self.state.roster.owner(runner.0, |member| !self.is_member_leaving(member))
     }
 
     /// Engines whose slots this node grants.
     pub fn owned(&self) -> impl Iterator<Item = &Runner> {
-        let this_node = self.options.me;
+        let this_node = self.options.incarnation;
         self.options.table.iter().filter(move |runner| {
             runner.role != Role::Service && self.owner(runner.id) == Some(this_node)
         })
@@ -275,12 +275,12 @@
             return Vec::new();
         }
         let roster = &self.state.roster;
-        let eligible = |member: Incarnation| alive(member) && !self.member_leaving(member);
+        let eligible = |member: Incarnation| alive(member) && !self.is_member_leaving(member);
         let assigned_here = |runner: &&Runner| {
             let owner = self.owner(runner.id);
             runner.role != Role::Service
                 && owner.is_some_and(|owner| self.belief(owner, now) == Belief::Dead)
-                && roster.owner(runner.id.0, eligible) == Some(self.options.me)
+                && roster.owner(runner.id.0, eligible) == Some(self.options.incarnation)
         };
         self.options.table.iter().filter(assigned_here).cloned().collect()
     }
@@ -294,12 +294,12 @@
 
     /// Chooses a runner. Prefers those with a recent load report, then those that have not failed
     /// recently.
-    pub fn place(&mut self, wanted: Wanted<'_>, now: Millis) -> Option<Id> {
-        let Wanted { role, serves, domains, avoid, work } = wanted;
+    pub fn place(&mut self, wanted: Requirements<'_>, now: Millis) -> Option<Id> {
+        let Requirements { role, serves, domains, exclude: avoid, hold_ms: work } = wanted;
         let (gossiped, state) = (&self.gossiped_leaves, &self.state);
         let table = &self.options.table;
         let board = &self.board;
-        let query = Query { pool: table.pool(role, serves), table, board, work, now };
+        let query = Query { pool: table.pool(role, serves), table, board, hold_ms: work, now };
         let allowed = |runner: &Runner| {
             !gossiped.contains_key(&runner.vm)
                 && !state.leaving.contains_key(&runner.vm)
@@ -319,12 +319,12 @@
     }
 
     /// Excludes a failed runner from placement for a short time.
-    pub fn failed(&mut self, runner: Id, now: Millis) {
+    pub fn mark_failed(&mut self, runner: Id, now: Millis) {
         self.board.shun(runner, now + FAILURE_COOLDOWN_MS);
     }
 
     /// Requests a slot of an owned runner; `None` means that the request is queued.
-    pub fn ask(&mut self, runner: Id, ask: Request, now: Millis) -> Option<Decision> {
+    pub fn request_slot(&mut self, runner: Id, ask: Request, now: Millis) -> Option<Decision> {
         match self.allocator(runner) {
             Some(allocator) => allocator.request_slot(ask, now),
             None => Some(Decision::NotOwner),
@@ -332,7 +332,7 @@
     }
 
     /// The grant of an attempt, if it holds a slot.
-    pub fn granted(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Decision> {
+    pub fn slot_decision(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Decision> {
         self.allocators.get(&runner)?.decision(attempt, now)
     }
 
@@ -362,12 +362,12 @@
     }
 
     /// Grants slots that became available by the passing of time, as predicted releases do.
-    pub fn serve(&mut self, now: Millis) -> Vec<attempt::Id> {
+    pub fn grant_waiting(&mut self, now: Millis) -> Vec<attempt::Id> {
         self.allocators.values_mut().flat_map(|allocator| allocator.grant_waiting(now)).collect()
     }
 
     /// Load of the owned runners.
-    pub fn reports(&self, now: Millis) -> Vec<(Id, Report)> {
+    pub fn load_reports(&self, now: Millis) -> Vec<(Id, Report)> {
         self.allocators.iter().map(|(id, allocator)| (*id, allocator.report(now))).collect()
     }
 
@@ -384,7 +384,7 @@
     }
 
     /// Records that an owned engine does not respond.
-    pub fn silent(&mut self, runner: Id) {
+    pub fn mark_unresponsive(&mut self, runner: Id) {
         if let Some(allocator) = self.allocator(runner) {
             allocator.set_responsive(false);
         }
@@ -392,7 +392,7 @@
 
     /// Records that another node reports a silent node as alive. A node that is not a neighbour is no
     /// longer watched, as it sends no heartbeats here.
-    pub fn vouched(&mut self, node: Incarnation, now: Millis) {
+    pub fn confirm_alive(&mut self, node: Incarnation, now: Millis) {
         if self.neighbours().iter().any(|member| member.incarnation == node) {
             self.detector.heard(node, now);
         } else {
@@ -402,7 +402,7 @@
 
     /// Liveness of a node as seen here; a member that is not watched counts as alive.
     pub fn belief(&self, node: Incarnation, now: Millis) -> Belief {
-        if node == self.options.me {
+        if node == self.options.incarnation {
             return Belief::Alive;
         }
         if self.member(node).is_none() {
@@ -419,23 +419,23 @@
     /// If all members are leaving, the first one still owns the key, so that a key never has two
     /// owners.
     pub fn route(&self, key: &Key, passed: &[Incarnation], now: Millis) -> Route {
-        let this_node = self.options.me;
+        let this_node = self.options.incarnation;
         let ranked = self.state.roster.ranked(key.hash());
         let eligible =
-            |member: &&Incarnation| !self.member_leaving(**member) && !passed.contains(member);
+            |member: &&Incarnation| !self.is_member_leaving(**member) && !passed.contains(member);
         let fallback = || ranked.iter().find(|member| !passed.contains(member));
         match ranked.iter().find(eligible).or_else(fallback) {
             Some(owner) if *owner == this_node => {
-                Route::Here { ask: self.previous_owners(&ranked, now) }
+                Route::Local { ask: self.previous_owners(&ranked, now) }
             }
-            Some(owner) => Route::There(*owner),
-            None => Route::Nowhere,
+            Some(owner) => Route::Remote(*owner),
+            None => Route::NoOwner,
         }
     }
 
     /// Members that may have owned a key before this node did.
     fn previous_owners(&self, ranked: &[Incarnation], now: Millis) -> Vec<Incarnation> {
-        let this_node = self.options.me;
+        let this_node = self.options.incarnation;
         let window = self.options.ledger.window_millis;
         let joined_recently = |member: &Incarnation| {
             self.first_seen.get(member).is_none_or(|seen| now.since(*seen) < window)
@@ -455,21 +455,21 @@
 
     /// Why a request may have been run by another node although the ledger has no record of its key.
     pub fn doubt(&self, key: &Key) -> Option<Doubt> {
-        self.claims.doubt(key.hash(), self.options.me)
+        self.claims.doubt(key.hash(), self.options.incarnation)
     }
 
     /// The member that owns a key once this node has departed.
     pub fn successor(&self, key: &Key) -> Option<&Member> {
-        let this_node = self.options.me;
+        let this_node = self.options.incarnation;
         let next = self
             .state
             .roster
-            .owner(key.hash(), |member| member != this_node && !self.member_leaving(member))?;
+            .owner(key.hash(), |member| member != this_node && !self.is_member_leaving(member))?;
         self.state.roster.get(next)
     }
 
     /// Records the policy version in force at a node.
-    pub fn saw_version(&mut self, node: Incarnation, version: Version) {
+    pub fn record_version(&mut self, node: Incarnation, version: Version) {
         self.policy_versions.insert(node, version);
     }
 
@@ -477,7 +477,7 @@
     ///
     /// The member with the lowest incarnation confirms once the version is in force at all members
     /// of the domain.
-    pub fn confirmation(&self) -> Option<Version> {
+    pub fn version_to_confirm(&self) -> Option<Version> {
         let newest = self.state.history.back()?;
         let domain = &self.options.domain;
         if newest.accepted || newest.confirmed.contains(domain) {
@@ -485,25 +485,25 @@
         }
         let mut members = self.state.roster.iter().filter(|member| member.domain == *domain);
         let all_updated = members.clone().all(|member| {
-            member.incarnation == self.options.me
+            member.incarnation == self.options.incarnation
                 || self
                     .policy_versions
                     .get(&member.incarnation)
                     .is_some_and(|version| *version >= newest.version)
         });
-        let is_first = members.next()?.incarnation == self.options.me;
+        let is_first = members.next()?.incarnation == self.options.incarnation;
         (is_first && all_updated).then_some(newest.version)
     }
 
     fn allocator(&mut self, runner: Id) -> Option<&mut Allocator> {
-        if self.owner(runner) != Some(self.options.me) {
+        if self.owner(runner) != Some(self.options.incarnation) {
             return None;
         }
         let described = self.options.table.find(runner)?;
         let limits = slots::Limits {
             slots: described.slots,
             kv_tokens: described.kv_tokens,
-            grant_early: self.options.ahead,
+            grant_early: self.options.grant_early,
         };
         Some(self.allocators.entry(runner).or_insert_with(|| Allocator::new(limits)))
     }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -37,7 +37,7 @@
     /// Their loads.
     pub board: &'a Board,
     /// Expected time that the request holds a slot, in milliseconds.
-    pub work: u64,
+    pub hold_ms: u64,
     /// Time of the decision.
     pub now: Millis,
 }
@@ -117,7 +117,7 @@
     let cost = |runner: &Runner| {
         let entry = query.board.get(runner.id);
         let slots = runner.slots.max(1);
-        let queued_ms = u64::from(entry.sent) * query.work / u64::from(slots);
+        let queued_ms = u64::from(entry.sent) * query.hold_ms / u64::from(slots);
         let wait_ms = u64::from(entry.report.wait_millis) + queued_ms;
         (wait_ms, entry.depth() * LOAD_SCALE / slots)
     };
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -43,13 +43,13 @@
     },
     /// It is too long.
     #[display("program is {bytes} bytes long, the maximum is {MAX_PROGRAM_BYTES}")]
-    Long {
+    TooLong {
         /// Length of the program.
         bytes: usize,
     },
     /// Its evaluation failed.
     #[display("{message}")]
-    Run {
+    Evaluation {
         /// Message of the interpreter, with its position.
         message: String,
     },
@@ -93,7 +93,7 @@
     /// Compiles a program.
     pub fn compile(text: &str) -> Result<Self, Error> {
         if text.len() > MAX_PROGRAM_BYTES {
-            return Err(Error::Long { bytes: text.len() });
+            return Err(Error::TooLong { bytes: text.len() });
         }
         let mut engine = Engine::new();
         engine
@@ -118,13 +118,13 @@
     pub fn check(text: &str, samples: &[Input]) -> Result<Self, Error> {
         let program = Self::compile(text)?;
         for sample in samples {
-            program.judge(sample)?;
+            program.evaluate(sample)?;
         }
         Ok(program)
     }
 
     /// Evaluates the program for a request.
-    pub fn judge(&self, input: &Input) -> Result<Verdict, Error> {
+    pub fn evaluate(&self, input: &Input) -> Result<Verdict, Error> {
         let mut scope = Scope::new();
         scope.push_constant("organisation", input.organisation.clone());
         scope.push_constant("model", input.model.clone());
@@ -135,7 +135,7 @@
         let result: Dynamic = self
             .engine
             .eval_ast_with_scope(&mut scope, &self.ast)
-            .map_err(|error| Error::Run { message: error.to_string() })?;
+            .map_err(|error| Error::Evaluation { message: error.to_string() })?;
         verdict(result)
     }
 }
--- a/crates/coordination/src/stages.rs
+++ b/crates/coordination/src/stages.rs
@@ -48,7 +48,7 @@
 
 /// Planner of stage changes for one service.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct Planner {
     orders: HashMap<Key, (Stage, Millis)>,
     last_engines: Vec<Key>,
     unchanged_since: Millis,
@@ -58,7 +58,7 @@
     short_since: Option<Millis>,
 }
 
-impl Plan {
+impl Planner {
     /// Stage changes to order among the live engines of the service.
     pub fn changes(&mut self, engines: &[(Key, &Endpoint)], now: Millis) -> Vec<Change> {
         let max = self.recent_max(engines.len(), now);
@@ -143,7 +143,7 @@
     }
 
     /// Records an order sent by this node.
-    pub fn sent(&mut self, change: Change, now: Millis) {
+    pub fn record_own_order(&mut self, change: Change, now: Millis) {
         self.orders.insert(change.key, (change.stage, now));
     }
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,62 +1,63 @@
 //! Admission: which callers count as late, and the longest wait and utilization limit of each class.
 
-use crosslane_coordination::admission::{self, Caller, Patience, Standing};
+use crosslane_coordination::admission::{self, Caller, Tier, Timeouts};
 use crosslane_coordination::reader::{Kept, Reader};
 use crosslane_state::time::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 
-const FIRST_TRY: Caller = Caller { target: 900, silence: 3_600, spent: 0, resumes: false };
+const FIRST_TRY: Caller =
+    Caller { target_ms: 900, max_silence_ms: 3_600, spent_ms: 0, resumes: false };
 
 struct Case {
     name: &'static str,
     caller: Caller,
-    standing: Standing,
+    standing: Tier,
     wait: u64,
 }
 
 #[rstest]
-#[case(Case { name: "first try", caller: FIRST_TRY, standing: Standing::OnTime, wait: 450 })]
+#[case(Case { name: "first try", caller: FIRST_TRY, standing: Tier::OnTime, wait: 450 })]
 #[case(Case {
     name: "lost a packet",
-    caller: Caller { spent: 200, ..FIRST_TRY },
-    standing: Standing::OnTime,
+    caller: Caller { spent_ms: 200, ..FIRST_TRY },
+    standing: Tier::OnTime,
     wait: 450,
 })]
 #[case(Case {
     name: "retry after a refusal",
-    caller: Caller { spent: 2_300, ..FIRST_TRY },
-    standing: Standing::Late,
+    caller: Caller { spent_ms: 2_300, ..FIRST_TRY },
+    standing: Tier::Late,
     wait: 2_880,
 })]
 #[case(Case {
     name: "resumes a stream",
     caller: Caller { resumes: true, ..FIRST_TRY },
-    standing: Standing::Resumed,
+    standing: Tier::Resumed,
     wait: 2_880,
 })]
 #[case(Case {
     name: "late, with a long target",
-    caller: Caller { target: 5_000, silence: 20_000, spent: 6_000, resumes: false },
-    standing: Standing::Late,
+    caller: Caller { target_ms: 5_000, max_silence_ms: 20_000, spent_ms: 6_000, resumes: false },
+    standing: Tier::Late,
     wait: 16_000,
 })]
 fn standing(#[case] case: Case) {
-    let standing = Standing::from(&case.caller);
+    let standing = Tier::from(&case.caller);
     assert_eq!(standing, case.standing, "{}", case.name);
-    assert_eq!(standing.wait(&case.caller), case.wait, "{}", case.name);
+    assert_eq!(standing.max_wait_ms(&case.caller), case.wait, "{}", case.name);
 }
 
 #[rstest]
 fn late_callers_have_the_lowest_utilization_limit() {
-    assert!(Standing::Late.full() < Standing::Resumed.full());
-    assert!(Standing::Resumed.full() < Standing::OnTime.full());
+    assert!(Tier::Late.max_utilization() < Tier::Resumed.max_utilization());
+    assert!(Tier::Resumed.max_utilization() < Tier::OnTime.max_utilization());
 }
 
 #[rstest]
 fn a_resume_waits_for_half_of_the_silence_timeout() {
-    assert_eq!(admission::resume_wait(&FIRST_TRY), 1_800);
+    assert_eq!(admission::resume_wait_ms(&FIRST_TRY), 1_800);
 }
 
 struct History {
@@ -83,8 +84,8 @@
 })]
 #[case(History { name: "after an idle period", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
 fn time_spent_follows_from_recent_timeouts(#[case] case: History) {
-    let mut patience = Patience::default();
-    let spent = case.callers.iter().map(|(at, told)| patience.spent(*told, Millis(*at))).last();
+    let mut patience = Timeouts::default();
+    let spent = case.callers.iter().map(|(at, told)| patience.spent_ms(*told, Millis(*at))).last();
     assert_eq!(spent, Some(case.spent), "{}", case.name);
 }
 
@@ -93,13 +94,13 @@
 #[rstest]
 fn callers_with_different_timeouts_are_not_taken_for_retries() {
     let mut random = SmallRng::seed_from_u64(5);
-    let mut patience = Patience::default();
+    let mut patience = Timeouts::default();
     let (mut misclassified, mut detected, mut first_tries, mut retries) = (0, 0, 0, 0);
     for now in (0..600_000).step_by(500) {
         let timeout = random.random_range(11_900..=16_100);
         let is_retry = random.random_bool(1.0 / 6.0);
         let remaining = if is_retry { timeout - 3_000 } else { timeout };
-        let late = patience.spent(remaining, Millis(now)) > 0;
+        let late = patience.spent_ms(remaining, Millis(now)) > 0;
         if now < 10_000 {
             continue;
         }
--- a/crates/coordination/tests/fold.rs
+++ b/crates/coordination/tests/fold.rs
@@ -1,6 +1,6 @@
 //! Fold of the control stream: all nodes reach the same state, despite duplicates and gaps.
 
-use crosslane_coordination::fold::{Error, State, Verdict};
+use crosslane_coordination::fold::{Error, Outcome, State};
 use crosslane_coordination::record::{Leave, Record};
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
@@ -54,7 +54,7 @@
     records: Vec<Record>,
     version: u64,
     accepted: bool,
-    verdicts: Vec<(&'static str, Verdict)>,
+    verdicts: Vec<(&'static str, Outcome)>,
 }
 
 #[rstest]
@@ -63,14 +63,14 @@
     records: vec![publish("a", 0), publish("b", 0)],
     version: 1,
     accepted: false,
-    verdicts: vec![("a", Verdict::Counted(Version(1))), ("b", Verdict::Lost(Version(1)))],
+    verdicts: vec![("a", Outcome::Applied(Version(1))), ("b", Outcome::Conflict(Version(1)))],
 })]
 #[case(Case {
     name: "a duplicate publication has no effect",
     records: vec![publish("a", 0), publish("a", 0), publish("a", 1)],
     version: 1,
     accepted: false,
-    verdicts: vec![("a", Verdict::Counted(Version(1)))],
+    verdicts: vec![("a", Outcome::Applied(Version(1)))],
 })]
 #[case(Case {
     name: "accepted once every failure domain with members has confirmed",
@@ -104,7 +104,7 @@
     records: vec![publish("a", 0), Record::Withdraw { publication: "a".into() }],
     version: 2,
     accepted: false,
-    verdicts: vec![("a", Verdict::Withdrawn)],
+    verdicts: vec![("a", Outcome::Withdrawn)],
 })]
 #[case(Case {
     name: "an accepted policy can't be withdrawn",
@@ -116,7 +116,7 @@
     ],
     version: 1,
     accepted: true,
-    verdicts: vec![("a", Verdict::Counted(Version(1)))],
+    verdicts: vec![("a", Outcome::Applied(Version(1)))],
 })]
 #[case(Case {
     name: "a confirmation of an older version does not count for the newest",
@@ -130,7 +130,7 @@
     assert_eq!(state.version(), Version(case.version), "{}", case.name);
     assert_eq!(state.history.back().unwrap().accepted, case.accepted, "{}", case.name);
     for (id, verdict) in case.verdicts {
-        assert_eq!(state.verdict(id), Some(&verdict), "{}", case.name);
+        assert_eq!(state.outcome(id), Some(&verdict), "{}", case.name);
     }
 }
 
@@ -164,7 +164,7 @@
         "a gap is an error"
     );
     restored.fold(3, Some(checkpoint.clone())).unwrap();
-    assert_eq!(restored.next, 3, "folding continues at the offset of the checkpoint");
+    assert_eq!(restored.next_offset, 3, "folding continues at the offset of the checkpoint");
     let mut other = whole;
     for state in [&mut restored, &mut other] {
         state.fold(3, Some(checkpoint.clone())).unwrap();
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -4,7 +4,7 @@
 //! a random order; messages are lost or delayed. In every history, a request that may not be repeated
 //! runs at most once, and a request that ran is never reported as not run.
 
-use crosslane_coordination::keyed::{Flow, Forwarded, Inquired, Step};
+use crosslane_coordination::keyed::{Flow, ForwardOutcome, ReleaseReply, Step};
 use crosslane_coordination::ledger::{self, End};
 use crosslane_coordination::node::{Node, Options};
 use crosslane_coordination::placement::Mode;
@@ -34,14 +34,14 @@
 
 fn node(number: u64) -> Node {
     Node::new(Options {
-        me: Incarnation(number),
+        incarnation: Incarnation(number),
         domain: "Aarau".to_owned(),
         table: Table::default(),
         mode: Mode::BestOfTwo,
         retry_percent: 10,
         suspect_millis: 1_000,
         neighbours: 8,
-        ahead: false,
+        grant_early: false,
         ledger: ledger::Limits {
             answers: 100,
             bytes: 1 << 20,
@@ -153,15 +153,15 @@
             node.claims.claim(*key, Incarnation(*by), self.now);
         }
         *read = self.claims.len();
-        for departed in node.claims.unsettled() {
-            node.claims.settle(departed);
+        for departed in node.claims.uncollected() {
+            node.claims.mark_collected(departed);
         }
     }
 
     fn ask(&mut self, key_number: usize, at: u64, forwarded_from: Option<usize>) {
         let mut flow = Flow::new(key(key_number), FINGERPRINT, false);
         if let Some(forwarded_from) = forwarded_from {
-            flow = flow.forwarded_past(self.requests[forwarded_from].flow.forwards().to_vec());
+            flow = flow.into_forwarded(self.requests[forwarded_from].flow.redirected_by().to_vec());
         }
         let Some(node) = self.nodes.get_mut(&at) else {
             return;
@@ -184,7 +184,7 @@
                 // The claim is read back from the log: the first one on a key wins.
                 self.read_claims(request.at);
                 let node = &self.nodes[&request.at];
-                if node.claims.by_other(key(request.key).hash(), Incarnation(request.at)) {
+                if node.claims.claimed_by_other(key(request.key).hash(), Incarnation(request.at)) {
                     self.finish(&mut request, End::Unknown);
                 } else {
                     request.stage = Stage::Running;
@@ -211,31 +211,34 @@
     fn step(&mut self, index: usize, request: &mut Request, step: Step, delivery: Delivery) {
         let now = self.now;
         match step {
-            Step::Inquire(other) => {
+            Step::RequestRelease(other) => {
                 let by = Incarnation(request.at);
                 let name = key(request.key);
                 // The other node may release the key while its reply is lost.
                 let reply =
                     self.nodes.get_mut(&other.0).map(|node| node.ledger.release(&name, by, now));
                 let inquired = match reply {
-                    Some(true) if delivery == Delivery::Delivered => Inquired::Free,
-                    Some(false) if delivery == Delivery::Delivered => Inquired::Known,
-                    _ => Inquired::Silent,
+                    Some(true) if delivery == Delivery::Delivered => ReleaseReply::Released,
+                    Some(false) if delivery == Delivery::Delivered => ReleaseReply::Held,
+                    _ => ReleaseReply::NoReply,
                 };
                 let node = self.nodes.get_mut(&request.at).unwrap();
                 let gone = node.state.roster.get(other).is_none();
-                let inquired = if gone { Inquired::Free } else { inquired };
-                request.stage = Stage::Decided(request.flow.inquired(other, inquired, node, now));
+                let inquired = if gone { ReleaseReply::Released } else { inquired };
+                request.stage =
+                    Stage::Decided(request.flow.on_release_reply(other, inquired, node, now));
             }
             Step::Forward(owner)
                 if delivery == Delivery::Delivered && self.nodes.contains_key(&owner.0) =>
             {
                 self.ask(request.key, owner.0, Some(index));
                 let forwarded_request = self.requests.len() - 1;
-                if let Stage::Decided(Step::Name(named)) = self.requests[forwarded_request].stage {
+                if let Stage::Decided(Step::Redirect(named)) =
+                    self.requests[forwarded_request].stage
+                {
                     let node = self.nodes.get_mut(&request.at).unwrap();
-                    let forwarded = Forwarded::Named(named);
-                    let step = request.flow.forwarded(owner, forwarded, node, now);
+                    let forwarded = ForwardOutcome::Redirected(named);
+                    let step = request.flow.on_forward_outcome(owner, forwarded, node, now);
                     request.stage = Stage::Decided(step);
                 } else {
                     request.ended = true;
@@ -243,7 +246,7 @@
             }
             Step::Forward(owner) => {
                 let node = self.nodes.get_mut(&request.at).unwrap();
-                let step = request.flow.forwarded(owner, Forwarded::Lost, node, now);
+                let step = request.flow.on_forward_outcome(owner, ForwardOutcome::Lost, node, now);
                 request.stage = Stage::Decided(step);
             }
             Step::Run => {
@@ -256,7 +259,9 @@
                     self.finish(request, End::NotRun);
                 }
             }
-            Step::Join | Step::Replay(_) | Step::Refuse(_) | Step::Name(_) => request.ended = true,
+            Step::Join | Step::Replay(_) | Step::Refuse(_) | Step::Redirect(_) => {
+                request.ended = true
+            }
         }
     }
 
@@ -266,7 +271,7 @@
             self.nodes.values().flat_map(|node| node.told().cloned().collect::<Vec<_>>()).collect();
         if let Some(node) = self.nodes.get_mut(&number) {
             leaves.into_iter().for_each(|leave| {
-                node.tell(leave);
+                node.add_leave(leave);
             });
         }
     }
@@ -295,7 +300,7 @@
         let Some(node) = self.nodes.get(&number).filter(|_| !busy) else {
             return;
         };
-        if !node.member_leaving(Incarnation(number)) {
+        if !node.is_member_leaving(Incarnation(number)) {
             return;
         }
         for (key, fingerprint, answer) in node.ledger.handover() {
@@ -331,7 +336,7 @@
                     node: Some(Incarnation(number)),
                 };
                 if let Some(node) = self.nodes.get_mut(&number) {
-                    node.tell(leave.clone());
+                    node.add_leave(leave.clone());
                 }
                 if !self.log_out {
                     self.log.push(Record::Leave { leave });
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -48,8 +48,8 @@
     for number in 0..=case.more_requests {
         complete(&mut ledger, number, case.bytes, false);
     }
-    ledger.trim(NOW + case.elapsed_ms.min(1_000));
-    ledger.trim(NOW + case.elapsed_ms);
+    ledger.evict(NOW + case.elapsed_ms.min(1_000));
+    ledger.evict(NOW + case.elapsed_ms);
     let begin = ledger.begin(&key(0), FINGERPRINT, false, NOW + case.elapsed_ms);
     assert_eq!(begin, case.begin, "{}", case.name);
 }
@@ -112,7 +112,7 @@
     let mut ledger = Ledger::new(LIMITS);
     assert!(ledger.release(&key(1), other, NOW));
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Moved(other));
-    let before = ledger.releases();
+    let before = ledger.release_count();
     assert!(ledger.release(&key(1), third, NOW), "released to another node, as it was not run");
     ledger.reclaim(&key(1), before, |node| node == third);
     assert_eq!(
@@ -120,7 +120,7 @@
         Begin::Moved(third),
         "a release after the mark stays"
     );
-    ledger.reclaim(&key(1), ledger.releases(), |node| node == third);
+    ledger.reclaim(&key(1), ledger.release_count(), |node| node == third);
     assert_eq!(ledger.begin(&key(1), FINGERPRINT, false, NOW), Begin::Run);
     assert!(!ledger.release(&key(1), other, NOW), "it is running");
 }
--- a/crates/coordination/tests/program.rs
+++ b/crates/coordination/tests/program.rs
@@ -32,7 +32,7 @@
     verdict: Verdict { class: Class::Patient, repeatable: true, domains: vec!["Aarau".into()] },
 })]
 fn verdict(#[case] case: Case) {
-    assert_eq!(Program::compile(case.program).unwrap().judge(&case.input), Ok(case.verdict));
+    assert_eq!(Program::compile(case.program).unwrap().evaluate(&case.input), Ok(case.verdict));
 }
 
 #[rstest]
@@ -67,11 +67,11 @@
     let steps = "s+=1;".repeat(12_000);
     let many_steps = format!("let s = 0; {steps} #{{ class: \"quick\", repeatable: true }}");
     let too_long = Program::compile(&" ".repeat(100_000));
-    assert!(matches!(too_long, Err(Error::Long { bytes: 100_000 })));
+    assert!(matches!(too_long, Err(Error::TooLong { bytes: 100_000 })));
     let large_string = "let s = \"0123456789012345678901234567890123456789\"; s += s; s += s; s += s; \
                  s += s; s += s; s += s; s += s; #{ class: s, repeatable: true }";
     for program in [many_steps.as_str(), large_string] {
         let result = Program::check(program, &[Input::default()]);
-        assert!(matches!(result, Err(Error::Run { .. })), "{result:?}");
+        assert!(matches!(result, Err(Error::Evaluation { .. })), "{result:?}");
     }
 }
--- a/crates/coordination/tests/replay/mod.rs
+++ b/crates/coordination/tests/replay/mod.rs
@@ -6,7 +6,7 @@
 //! engines of 41,000 tokens, streams with a prompt of 3,200 tokens and 640 generated tokens at
 //! 5.4 ms each.
 
-use crosslane_coordination::admission::{Caller, Standing};
+use crosslane_coordination::admission::{Caller, Tier};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -46,8 +46,8 @@
 
 /// The rule under test.
 pub fn admission(caller: &Caller) -> Terms {
-    let standing = Standing::from(caller);
-    Terms { full: standing.full(), wait: standing.wait(caller) }
+    let standing = Tier::from(caller);
+    Terms { full: standing.max_utilization(), wait: standing.max_wait_ms(caller) }
 }
 
 /// A load.
@@ -98,9 +98,9 @@
 
     fn caller(&self, since: u64) -> Caller {
         Caller {
-            target: TARGET_MS,
-            silence: SILENCE_MS,
-            spent: since - self.first_arrival,
+            target_ms: TARGET_MS,
+            max_silence_ms: SILENCE_MS,
+            spent_ms: since - self.first_arrival,
             resumes: self.interrupted,
         }
     }
--- a/crates/coordination/tests/splice.rs
+++ b/crates/coordination/tests/splice.rs
@@ -1,6 +1,6 @@
 //! Splice: late, reordered, duplicate and missing pieces never corrupt the output.
 
-use crosslane_coordination::splice::{Piece, Splice};
+use crosslane_coordination::splice::{Action, Splice};
 use crosslane_state::attempt::Id;
 use crosslane_state::incarnation::Incarnation;
 use proptest::prelude::*;
@@ -31,20 +31,20 @@
         for (index, (round, offset)) in pieces.into_iter().enumerate() {
             if index == switch {
                 current = 1;
-                splice.switch(attempt(1));
+                splice.switch_attempt(attempt(1));
             }
-            match splice.piece(attempt(round), offset) {
-                Piece::Take => {
+            match splice.accept(attempt(round), offset) {
+                Action::Forward => {
                     prop_assert_eq!(round, current);
                     taken.push(offset);
                 }
-                Piece::Gap => prop_assert!(offset > splice.next()),
-                Piece::Drop => prop_assert!(round != current || offset < splice.next()),
+                Action::Gap => prop_assert!(offset > splice.next_offset()),
+                Action::Drop => prop_assert!(round != current || offset < splice.next_offset()),
             }
         }
         let expected: Vec<u64> = (0..taken.len() as u64).collect();
         prop_assert_eq!(&taken, &expected);
-        prop_assert!(!splice.end(attempt(1 - current), taken.len() as u64), "not the current attempt");
-        prop_assert_eq!(splice.end(attempt(current), total), total == taken.len() as u64);
+        prop_assert!(!splice.finish(attempt(1 - current), taken.len() as u64), "not the current attempt");
+        prop_assert_eq!(splice.finish(attempt(current), total), total == taken.len() as u64);
     }
 }
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -1,7 +1,7 @@
 //! Stage planning: split of the engines, only on a settled list, and one order at a time per engine.
 
 use crosslane_coordination::pool::Pool;
-use crosslane_coordination::stages::Plan;
+use crosslane_coordination::stages::Planner;
 use crosslane_state::endpoint::{Endpoint, Stage};
 use crosslane_state::time::Millis;
 use rand::SeedableRng;
@@ -49,7 +49,7 @@
 fn split(#[case] case: Split) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
+    let mut plan = Planner::default();
     plan.changes(engines, Millis(0));
     let changes = plan.changes(engines, Millis(1_000));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
@@ -59,7 +59,7 @@
 #[rstest]
 fn nothing_is_ordered_while_the_list_changes() {
     let mut pool = pool(5, 4);
-    let mut plan = Plan::default();
+    let mut plan = Planner::default();
     for round in 1..5_usize {
         assert!(plan.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
         let mut engines: Vec<Endpoint> =
@@ -76,10 +76,10 @@
 fn an_engine_gets_no_second_order_while_the_first_may_be_executed() {
     let pool = pool(4, 5);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
+    let mut plan = Planner::default();
     plan.changes(engines, Millis(0));
     let change = plan.changes(engines, Millis(1_000))[0];
-    plan.sent(change, Millis(1_000));
+    plan.record_own_order(change, Millis(1_000));
     assert!(plan.changes(engines, Millis(15_000)).is_empty());
     assert_eq!(plan.changes(engines, Millis(22_000)).len(), 1);
 }
@@ -109,7 +109,7 @@
     let mut pool = Pool::new(domain(0), SmallRng::seed_from_u64(1));
     pool.replace(engines, false, Millis(0));
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
+    let mut plan = Planner::default();
     plan.changes(engines, Millis(0));
     let changes = plan.changes(engines, Millis(1_000));
     let after = |place: usize| {
@@ -144,7 +144,7 @@
 fn missing_prefill_engines_are_replaced_after_a_while(#[case] case: Shortage) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
+    let mut plan = Planner::default();
     plan.changes(engines, Millis(0));
     assert!(plan.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
     let changes = plan.changes(engines, Millis(case.after));
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -40,14 +40,14 @@
     }
     table.insert(engine(ENGINES, Role::Service));
     let mut node = Node::new(Options {
-        me: Incarnation(number),
+        incarnation: Incarnation(number),
         domain: "Aarau".into(),
         table,
         mode: Mode::BestOfTwo,
         retry_percent: 10,
         suspect_millis: SUSPECT_MILLIS,
         neighbours: 8,
-        ahead: false,
+        grant_early: false,
         ledger: ledger::Limits {
             answers: 10,
             bytes: 1 << 10,
--- a/crates/crosslane/src/policy.rs
+++ b/crates/crosslane/src/policy.rs
@@ -4,7 +4,7 @@
 use crate::config;
 use crate::error::Error;
 use clap::ArgMatches;
-use crosslane_coordination::fold::{State, Verdict};
+use crosslane_coordination::fold::{Outcome, State};
 use crosslane_coordination::program::{Input, Program};
 use crosslane_coordination::record::Record;
 use crosslane_protocol::envelope::{self, Raw};
@@ -77,7 +77,7 @@
 
     /// Reads to the tail.
     pub async fn read(&mut self) -> Result<(), Error> {
-        let mut from = self.state.next;
+        let mut from = self.state.next_offset;
         loop {
             match self.platform.read(CONTROL, from, Duration::ZERO).await? {
                 Read::Trimmed { first } => from = first,
@@ -87,8 +87,8 @@
                         let _ = self.state.fold(page.from + place as u64, record);
                     }
                     let end = page.from + page.records.len() as u64;
-                    let bridged = (page.first..end).contains(&self.state.next);
-                    from = if bridged { self.state.next } else { end };
+                    let bridged = (page.first..end).contains(&self.state.next_offset);
+                    from = if bridged { self.state.next_offset } else { end };
                     if from >= page.tail {
                         return Ok(());
                     }
@@ -104,12 +104,12 @@
     }
 
     /// Publishes, and reads back what became of it even if the log's answer was lost.
-    pub async fn publish(&mut self, record: &Record, id: &str) -> Result<Verdict, Error> {
+    pub async fn publish(&mut self, record: &Record, id: &str) -> Result<Outcome, Error> {
         let appended = self.append(record).await;
         let deadline = Instant::now() + ANSWER;
         loop {
             let read = self.read().await;
-            if let Some(verdict) = self.state.verdict(id) {
+            if let Some(verdict) = self.state.outcome(id) {
                 return Ok(verdict.clone());
             }
             if Instant::now() > deadline {
@@ -135,7 +135,7 @@
     let record = Record::Publish { id: id.clone(), base, program, author };
     let verdict = journal.publish(&record, &id).await?;
     println!("publication {id}: {verdict}");
-    let Verdict::Counted(version) = verdict else {
+    let Outcome::Applied(version) = verdict else {
         return Err(Error::failed("the policy did not count; look at the newest and try again"));
     };
     if matches.get_flag("wait") {
@@ -159,7 +159,7 @@
             println!("version {version}: accepted, in force in every failure domain");
             return Ok(());
         }
-        let missing = journal.state.missing();
+        let missing = journal.state.unconfirmed_domains();
         if journal.state.version() > version {
             return Err(Error::failed(format!("version {version} was replaced before acceptance")));
         }
@@ -180,8 +180,8 @@
     let mut journal = Journal::new(address(matches, "log")?);
     journal.append(&Record::Withdraw { publication: id.clone() }).await?;
     journal.read().await?;
-    match journal.state.verdict(&id) {
-        Some(Verdict::Withdrawn) => {
+    match journal.state.outcome(&id) {
+        Some(Outcome::Withdrawn) => {
             println!("publication {id}: withdrawn");
             Ok(())
         }
--- a/crates/crosslane/tests/race.rs
+++ b/crates/crosslane/tests/race.rs
@@ -1,7 +1,7 @@
 //! Operators race each other, while nodes die and the log loses replies.
 
 use crosslane::policy::Journal;
-use crosslane_coordination::fold::Verdict;
+use crosslane_coordination::fold::Outcome;
 use crosslane_coordination::record::Record;
 use crosslane_harness::site::{Binaries, Plan, Site};
 use crosslane_state::policy::Version;
@@ -16,7 +16,7 @@
 const PUBLICATIONS: usize = 50;
 
 /// What one operator was told: publication, version.
-async fn publish(log: std::net::SocketAddr, operator: usize) -> Vec<(String, Verdict)> {
+async fn publish(log: std::net::SocketAddr, operator: usize) -> Vec<(String, Outcome)> {
     let mut journal = Journal::new(log);
     let mut told = Vec::new();
     for number in 0..PUBLICATIONS {
@@ -77,8 +77,8 @@
     site.runtime.block_on(journal.read()).unwrap();
     let mut counted = BTreeSet::new();
     for (id, verdict) in told {
-        assert_eq!(journal.state.verdict(&id), Some(&verdict), "told truly");
-        if let Verdict::Counted(version) = verdict {
+        assert_eq!(journal.state.outcome(&id), Some(&verdict), "told truly");
+        if let Outcome::Applied(version) = verdict {
             assert!(counted.insert(version), "one publication a version");
         }
     }
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -3,7 +3,7 @@
 use crate::event;
 use crate::node::{Node, lock};
 use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
-use crosslane_coordination::stages::{Change, Plan};
+use crosslane_coordination::stages::{Change, Planner};
 use crosslane_platform::engine::{self, Order};
 use crosslane_platform::store::{Client, Error};
 use crosslane_state::endpoint::{Stage, Tag};
@@ -30,7 +30,7 @@
 const ANSWER: Duration = Duration::from_millis(800);
 
 /// Plans by service.
-type Plans = HashMap<String, Plan>;
+type Plans = HashMap<String, Planner>;
 
 /// Gives orders when it is this node's turn, for good.
 pub async fn run(node: Arc<Node>) {
@@ -67,7 +67,7 @@
             info!(fence, orders = changes.len(); "{}", event::LEASE);
             for (service, change) in changes {
                 if node.now().since(began) < ORDER_WINDOW {
-                    plans.entry(service).or_default().sent(change, node.now());
+                    plans.entry(service).or_default().record_own_order(change, node.now());
                     tokio::spawn(order(node.clone(), change, fence));
                 }
             }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -10,7 +10,7 @@
 use crate::mirror::{Change, Ends, Mirror, Topic};
 use crate::quarantine::Checks;
 use crate::quota::Desk;
-use crosslane_coordination::admission::Patience;
+use crosslane_coordination::admission::Timeouts;
 use crosslane_coordination::allowance::{Allowance, Budget};
 use crosslane_coordination::connections;
 use crosslane_coordination::durations::{Durations, Mark};
@@ -126,7 +126,7 @@
     woken: Mutex<Option<Millis>>,
     /// How fast large things are handed to other nodes.
     pace: Mutex<Pace>,
-    patience: Mutex<HashMap<String, Patience>>,
+    patience: Mutex<HashMap<String, Timeouts>>,
     /// How long requests last, by service.
     durations: Mutex<HashMap<String, Durations>>,
     quarantine: Mutex<Quarantine>,
@@ -333,7 +333,7 @@
     pub fn spent(&self, route: &str, patience: Duration) -> u64 {
         let patience = patience.as_millis() as u64;
         let mut routes = lock(&self.patience);
-        routes.entry(route.to_owned()).or_default().spent(patience, self.now())
+        routes.entry(route.to_owned()).or_default().spent_ms(patience, self.now())
     }
 
     /// Notes that the store answered, for the first time since a failure if `returned`.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::quarantine;
 use crate::stream::{Run, Spare};
 use bytes::{Bytes, BytesMut};
-use crosslane_coordination::admission::FULL;
+use crosslane_coordination::admission::FULL_UTILIZATION;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::ask::Purpose;
 use crosslane_platform::engine::{self, Move};
@@ -169,7 +169,7 @@
         self.moves -= 1;
         self.move_at = Some(Instant::now() + MOVE_PAUSE);
         let (source, key) = self.answer.as_ref().map(|it| (it.endpoint.clone(), it.key()))?;
-        let place = self.run.decoder(FULL, &[key])?;
+        let place = self.run.decoder(FULL_UTILIZATION, &[key])?;
         let target = self.run.node.pool().get(place.0).cloned()?;
         let mut seat = Seat::take(&self.run.node, place, self.run.tokens());
         // Before the run is stopped: it must be able to go on there.
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -10,7 +10,7 @@
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
 use crate::stream::{Run, come_back};
-use crosslane_coordination::admission::Standing;
+use crosslane_coordination::admission::Tier;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::engine;
 use crosslane_state::endpoint::Key;
@@ -85,7 +85,7 @@
         tried.extend(but);
         let barred = tried.len();
         while tried.len() < barred + ASKED {
-            let Some(place) = self.decoder(self.standing.full(), &tried) else {
+            let Some(place) = self.decoder(self.standing.max_utilization(), &tried) else {
                 return Err(if tried.len() == barred { "memory" } else { "reservations" });
             };
             match self.hold(place, tokens).await {
@@ -100,7 +100,7 @@
         let tokens = self.tokens();
         let occupancy = self.node.pool().occupancy(&self.service, self.engine.capacity);
         let request = self.call.ask.id.as_str();
-        let late = self.standing != Standing::OnTime;
+        let late = self.standing != Tier::OnTime;
         let outcome = "no_room";
         info!(request, late, tokens, rounds, bound, occupancy, outcome; "{}", event::RESERVE);
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,7 +15,7 @@
 use crate::relay::Relay;
 use crate::stopping;
 use crate::watch::{self, Watch};
-use crosslane_coordination::admission::{self, Caller, Standing};
+use crosslane_coordination::admission::{self, Caller, Tier};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
 use crosslane_coordination::reader::{Kept, Reader};
@@ -66,7 +66,7 @@
     /// What admission knows of the caller.
     pub caller: Caller,
     /// Whether the caller can still be answered on time.
-    pub standing: Standing,
+    pub standing: Tier,
     /// Endpoints to which the request was sent.
     pub sent: u32,
     /// Prefilling engine that read the prompt, and may still keep it.
@@ -87,19 +87,19 @@
     /// A stream for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
-            target: route.target,
-            silence: route.silence(),
-            spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
+            target_ms: route.target,
+            max_silence_ms: route.silence(),
+            spent_ms: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
             resumes: call.ask.last_event.is_some(),
         };
-        let standing = Standing::from(&caller);
+        let standing = Tier::from(&caller);
         let (sent, read_at, spare) = (0, None, None);
         Self { node, call, route, service, engine, caller, standing, sent, read_at, spare }
     }
 
     /// Carries the request to engines and returns the stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
-        let patience = Duration::from_millis(self.standing.wait(&self.caller));
+        let patience = Duration::from_millis(self.standing.max_wait_ms(&self.caller));
         let until = self.call.deadline.instant().min(self.call.arrived + patience);
         let keepers = self.keepers().await;
         let (mut hold, kept) = self.reserve_best(&keepers, until).await?;
@@ -150,7 +150,7 @@
     /// in a day's logs of eleven nodes, to 47 engines each, found nothing.
     async fn keepers(&self) -> Keepers {
         match &self.call.ask.part {
-            Some(part) if self.standing == Standing::Resumed => {
+            Some(part) if self.standing == Tier::Resumed => {
                 cache::find(&self.node, &self.service, &self.call.ask.id, part).await
             }
             _ => Keepers::default(),
@@ -323,7 +323,7 @@
 
     /// Until when memory is waited for to go on with a stream.
     fn resume_by(&self) -> Instant {
-        let patience = Duration::from_millis(admission::resume_wait(&self.caller));
+        let patience = Duration::from_millis(admission::resume_wait_ms(&self.caller));
         self.call.deadline.instant().min(Instant::now() + patience)
     }
 
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -8,7 +8,7 @@
 use crate::run::{NOT_READY_MILLIS, denied};
 use crate::tape::{Head, Tape};
 use bytes::Bytes;
-use crosslane_coordination::node::{Node, Wanted};
+use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::retry;
 use crosslane_protocol::refusal::{Code, Refusal};
 use crosslane_state::attempt;
@@ -44,13 +44,13 @@
 }
 
 impl Job {
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> Requirements<'_> {
+        Requirements {
             role: Role::Service,
             serves: &self.prefix,
             domains: &self.verdict.domains,
-            avoid: &[],
-            work: 0,
+            exclude: &[],
+            hold_ms: 0,
         }
     }
 }
@@ -153,7 +153,7 @@
         needs: 0,
     };
     let decide = move |node: &mut Node, now| {
-        node.failed(runner, now);
+        node.mark_failed(runner, now);
         node.budget.retry(failure)
     };
     match shared.keeper.visit(decide).await {
--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -91,7 +91,7 @@
         let asked = keys.clone();
         let stands = move |node: &mut Node, _| {
             let member = node.state.roster.get(by).is_some();
-            member && asked.iter().all(|key| !node.claims.by_other(*key, by))
+            member && asked.iter().all(|key| !node.claims.claimed_by_other(*key, by))
         };
         if !shared.keeper.visit(stands).await {
             return false;
@@ -175,7 +175,7 @@
         if copied {
             keys.iter().for_each(|key| node.claims.claim(*key, me, now));
         }
-        let other = |key: &u64| node.claims.by_other(*key, me);
+        let other = |key: &u64| node.claims.claimed_by_other(*key, me);
         keys.iter().map(other).collect::<Vec<_>>()
     };
     let taken = shared.keeper.visit(judge).await;
--- a/crates/transport/src/drain.rs
+++ b/crates/transport/src/drain.rs
@@ -42,7 +42,7 @@
             node: Some(shared.me),
         };
         let keeper = shared.keeper.clone();
-        tokio::spawn(async move { keeper.visit(move |node, _| node.tell(me)).await });
+        tokio::spawn(async move { keeper.visit(move |node, _| node.add_leave(me)).await });
     }
 }
 
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -230,7 +230,7 @@
         input.max_tokens = completion.max_tokens.cast_signed();
     }
     let policy = shared.policy();
-    policy.program.judge(&input).map_err(|error| {
+    policy.program.evaluate(&input).map_err(|error| {
         let message = format!("policy version {} failed: {error}", policy.version);
         Refusal::not_run(Code::PolicyFailed, message)
     })
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -65,7 +65,7 @@
 
 /// Reads one page; true when it reached the tail.
 async fn read_control(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
-    let from = shared.keeper.visit(|node, _| node.state.next).await;
+    let from = shared.keeper.visit(|node, _| node.state.next_offset).await;
     match shared.platform.read(CONTROL, from, wait).await {
         Ok(Read::Page(page)) => fold(shared, page).await,
         Ok(Read::Trimmed { first }) => {
@@ -89,7 +89,7 @@
         from += page.records.len() as u64;
         let tail = from >= page.tail;
         fold(shared, page).await?;
-        let next = shared.keeper.visit(|node, _| node.state.next).await;
+        let next = shared.keeper.visit(|node, _| node.state.next_offset).await;
         if next >= first {
             return Ok(false);
         }
@@ -165,7 +165,7 @@
     }
     info!(event = "log_up"; "");
     shared.claims.flush_copies(shared).await;
-    let untold = shared.keeper.visit(|node, _| node.untold()).await;
+    let untold = shared.keeper.visit(|node, _| node.unlogged_leaves()).await;
     for leave in untold {
         append(shared, &Record::Leave { leave }).await;
     }
--- a/crates/transport/src/forward.rs
+++ b/crates/transport/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::node::{Progress, Shared};
 use crate::render;
 use bytes::Bytes;
-use crosslane_coordination::keyed::{Flow, Forwarded};
+use crosslane_coordination::keyed::{Flow, ForwardOutcome};
 use crosslane_protocol::refusal::{self, Code, Refusal};
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
@@ -33,9 +33,9 @@
     asked: &Asked,
     flow: &Flow,
     owner: Incarnation,
-) -> Result<Response<Incoming>, Forwarded> {
+) -> Result<Response<Incoming>, ForwardOutcome> {
     let Some(member) = shared.member(owner).await else {
-        return Err(Forwarded::Lost);
+        return Err(ForwardOutcome::Lost);
     };
     shared.metrics.count(Counter::Forwarded);
     let left = asked.deadline.since(shared.clock.now());
@@ -46,7 +46,11 @@
         Err(error) => {
             shared.metrics.count(Counter::OwnerSilent);
             let unreached = matches!(error, http::Error::Connect { .. });
-            return Err(if unreached { Forwarded::Unreached } else { Forwarded::Lost });
+            return Err(if unreached {
+                ForwardOutcome::NotDelivered
+            } else {
+                ForwardOutcome::Lost
+            });
         }
     };
     if response.status() != StatusCode::MISDIRECTED_REQUEST {
@@ -55,16 +59,16 @@
     shared.metrics.count(Counter::ForwardMoved);
     let named = response.headers().get(OWNER).and_then(|it| it.to_str().ok());
     let named = named.and_then(Incarnation::parse);
-    Err(named.map_or(Forwarded::Unreached, Forwarded::Named))
+    Err(named.map_or(ForwardOutcome::NotDelivered, ForwardOutcome::Redirected))
 }
 
 fn call(asked: &Asked, flow: &Flow, member: &Member, left: u64) -> Call {
     let path = asked.head.uri.path_and_query().map_or("/", |it| it.as_str());
     let mut call = Call::new(asked.head.method.clone(), member.forward, path);
     call.headers = end_to_end(&asked.head.headers);
-    call.headers.insert(HOPS, HeaderValue::from(flow.forwards().len() + 1));
+    call.headers.insert(HOPS, HeaderValue::from(flow.redirected_by().len() + 1));
     call.headers.insert(DEADLINE, HeaderValue::from(left));
-    let passed: Vec<_> = flow.forwards().iter().map(ToString::to_string).collect();
+    let passed: Vec<_> = flow.redirected_by().iter().map(ToString::to_string).collect();
     if let Ok(value) = HeaderValue::from_str(&passed.join(",")) {
         call.headers.insert(PASSED, value);
     }
--- a/crates/transport/src/keeper.rs
+++ b/crates/transport/src/keeper.rs
@@ -126,7 +126,7 @@
         reply: oneshot::Sender<Decision>,
         now: Millis,
     ) {
-        match self.node.ask(runner, ask, now) {
+        match self.node.request_slot(runner, ask, now) {
             Some(grant) => self.answer(runner, ask.attempt, reply, grant, now),
             None => {
                 self.pending.insert(ask.attempt, (runner, reply));
@@ -146,9 +146,9 @@
                 let _ = reply.send(Decision::Refused { retry_after });
             }
         }
-        let granted = self.node.serve(now);
+        let granted = self.node.grant_waiting(now);
         self.granted(granted, now);
-        self.node.ledger.trim(now);
+        self.node.ledger.evict(now);
         let closed = self.pending.iter().filter(|(_, (_, reply))| reply.is_closed());
         let left: Vec<_> = closed.map(|(attempt, (runner, _))| (*runner, *attempt)).collect();
         for (runner, attempt) in left {
@@ -159,7 +159,8 @@
     fn granted(&mut self, attempts: Vec<attempt::Id>, now: Millis) {
         for attempt in attempts {
             if let Some((runner, reply)) = self.pending.remove(&attempt) {
-                let grant = self.node.granted(runner, attempt, now).unwrap_or(Decision::NotOwner);
+                let grant =
+                    self.node.slot_decision(runner, attempt, now).unwrap_or(Decision::NotOwner);
                 self.answer(runner, attempt, reply, grant, now);
             }
         }
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -8,7 +8,7 @@
 use crate::run::NOT_READY_MILLIS;
 use crate::tape::Tape;
 use crate::{forward, job, render};
-use crosslane_coordination::keyed::{self, Flow, Inquired, Step};
+use crosslane_coordination::keyed::{self, Flow, ReleaseReply, Step};
 use crosslane_coordination::node::Node;
 use crosslane_protocol::peer::PeerClient;
 use crosslane_protocol::refusal::{Code, Refusal};
@@ -33,24 +33,24 @@
 ) -> Result<Response<Reply>, Refusal> {
     let mut flow = Flow::new(key, job::fingerprint(&asked), asked.verdict.repeatable);
     if asked.hops > 0 {
-        flow = flow.forwarded_past(asked.passed.clone());
+        flow = flow.into_forwarded(asked.passed.clone());
     }
     let service = matches!(asked.target, Target::Service(_));
     let seen_through = service && !asked.verdict.repeatable;
     let (mut flow, mut step) = advance(shared, flow, seen_through, Flow::start).await;
     loop {
         let next: Advance = match step {
-            Step::Inquire(earlier) => {
+            Step::RequestRelease(earlier) => {
                 let inquired = inquire(shared, &flow, earlier).await;
-                Box::new(move |flow, node, now| flow.inquired(earlier, inquired, node, now))
+                Box::new(move |flow, node, now| flow.on_release_reply(earlier, inquired, node, now))
             }
             Step::Forward(owner) => match forward::send(shared, &asked, &flow, owner).await {
                 Ok(response) => return Ok(forward::relay(response, progress)),
-                Err(forwarded) => {
-                    Box::new(move |flow, node, now| flow.forwarded(owner, forwarded, node, now))
-                }
+                Err(forwarded) => Box::new(move |flow, node, now| {
+                    flow.on_forward_outcome(owner, forwarded, node, now)
+                }),
             },
-            Step::Name(owner) => return Ok(name(owner)),
+            Step::Redirect(owner) => return Ok(name(owner)),
             Step::Refuse(reason) => return Err(not_begun(reason)),
             Step::Run | Step::Join | Step::Replay(_) => {
                 return begun(shared, &asked, flow.key(), &step, progress).await;
@@ -84,18 +84,18 @@
 }
 
 /// Asks a node that may have owned a key to give it up.
-async fn inquire(shared: &Shared, flow: &Flow, earlier: Incarnation) -> Inquired {
+async fn inquire(shared: &Shared, flow: &Flow, earlier: Incarnation) -> ReleaseReply {
     let Some(member) = shared.member(earlier).await else {
-        return Inquired::Free;
+        return ReleaseReply::Released;
     };
     let (key, by) = (flow.key().clone(), shared.me);
     let call = |client: PeerClient, context| async move { client.inquire(context, key, by).await };
     match shared.peers.call(member.control, INQUIRE, call).await {
-        Ok(true) => Inquired::Free,
-        Ok(false) => Inquired::Known,
+        Ok(true) => ReleaseReply::Released,
+        Ok(false) => ReleaseReply::Held,
         Err(_) => {
             shared.metrics.count(Counter::OwnerSilent);
-            Inquired::Silent
+            ReleaseReply::NoReply
         }
     }
 }
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -429,14 +429,14 @@
         table.insert(runner.clone());
     }
     Options {
-        me,
+        incarnation: me,
         domain: settings.domain.clone(),
         table,
         mode: settings.placement.mode,
         retry_percent: settings.placement.retry_percent,
         suspect_millis: settings.timing.suspect_millis,
         neighbours: settings.neighbours,
-        ahead: settings.placement.ahead,
+        grant_early: settings.placement.ahead,
         ledger: settings.ledger,
         seed: me.0,
     }
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -53,7 +53,7 @@
         let leaving: BTreeSet<_> = node.told().map(|it| it.vm.clone()).collect();
         let owned: Vec<_> = node.owned().map(|it| it.name.clone()).collect();
         let load = |(id, load): &(_, Report)| json!({ "runner": id, "load": load });
-        let loads: Vec<_> = node.reports(now).iter().map(load).collect();
+        let loads: Vec<_> = node.load_reports(now).iter().map(load).collect();
         let members: Vec<_> = node
             .state
             .roster
@@ -68,14 +68,14 @@
             })
             .collect();
         json!({
-            "offset": node.state.next,
-            "checkpoint": node.state.checkpoint,
+            "offset": node.state.next_offset,
+            "checkpoint": node.state.checkpoint_offset,
             "members": members,
             "leaving": leaving,
             "owned": owned,
             "loads": loads,
             "accepted": newest.as_ref().is_none_or(|it| it.accepted),
-            "missing": node.state.missing(),
+            "missing": node.state.unconfirmed_domains(),
             "keys": node.ledger.len(),
             "answer_bytes": node.ledger.bytes(),
         })
@@ -103,7 +103,7 @@
     let wanted = vm.to_owned();
     let known = move |node: &mut Node, _| {
         let mut members: Vec<_> = node.state.roster.iter().cloned().collect();
-        members.extend(node.guests());
+        members.extend(node.provisional_members());
         (node.is_leaving(&wanted), node.has_vm(&wanted), members)
     };
     let (leaving, known, members) = shared.keeper.visit(known).await;
@@ -134,8 +134,8 @@
     let leave = Leave { id, vm: vm.to_owned(), node: None };
     let told = leave.clone();
     let stamp = move |node: &mut Node, _| {
-        node.tell(told.clone());
-        (node.has_vm(&told.vm), node.state.stamped(told))
+        node.add_leave(told.clone());
+        (node.has_vm(&told.vm), node.state.with_node(told))
     };
     let (known, leave) = shared.keeper.visit(stamp).await;
     let logged = follower::append(shared, &Record::Leave { leave }).await;
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -78,8 +78,8 @@
         };
         found = true;
         let take = move |node: &mut Node, now| {
-            guests.into_iter().for_each(|it| node.welcome(it, now));
-            if state.next > node.state.next {
+            guests.into_iter().for_each(|it| node.add_provisional(it, now));
+            if state.next_offset > node.state.next_offset {
                 node.state = state;
                 node.refresh(now);
             }
@@ -109,7 +109,7 @@
     shared
         .keeper
         .visit(move |node, now| {
-            let loads = node.reports(now);
+            let loads = node.load_reports(now);
             for (id, report) in &loads {
                 node.board.report(*id, *report, now);
             }
@@ -122,14 +122,14 @@
 pub async fn heard(shared: &Arc<Shared>, beat: Beat) {
     let news = move |node: &mut Node, now| {
         if let Some(newcomer) = beat.newcomer {
-            node.welcome(newcomer, now);
+            node.add_provisional(newcomer, now);
         }
         node.detector.heard(beat.from, now);
-        node.saw_version(beat.from, beat.version);
+        node.record_version(beat.from, beat.version);
         for (id, report) in beat.loads {
             node.board.report(id, report, now);
         }
-        beat.leaves.into_iter().filter(|it| node.tell(it.clone())).count()
+        beat.leaves.into_iter().filter(|it| node.add_leave(it.clone())).count()
     };
     let new = shared.keeper.visit(news).await;
     if new > 0 {
@@ -178,12 +178,12 @@
             shared.peers.call(witness.control, HEARS, call)
         });
         if futures::future::join_all(asked).await.contains(&Ok(true)) {
-            shared.keeper.visit(move |node, now| node.vouched(suspect, now)).await;
+            shared.keeper.visit(move |node, now| node.confirm_alive(suspect, now)).await;
             continue;
         }
         shared.metrics.count(Counter::NodesDead);
         warn!(event = "node_dead", node:% = suspect, by:% = me; "");
-        shared.keeper.visit(move |node, now| node.bury(suspect, now)).await;
+        shared.keeper.visit(move |node, now| node.confirm_dead(suspect, now)).await;
     }
 }
 
@@ -208,13 +208,13 @@
             let incarnation = member.map(|it| it.incarnation);
             match (vm.state, incarnation) {
                 (State::Live, _) => {}
-                (State::Leaving, Some(it)) if node.member_age(it, now) < LIST_LAG_MILLIS => {}
-                (State::Gone, Some(it)) if node.departure_due(it, now) => gone.push(it),
+                (State::Leaving, Some(it)) if node.member_age_ms(it, now) < LIST_LAG_MILLIS => {}
+                (State::Gone, Some(it)) if node.should_record_departure(it, now) => gone.push(it),
                 (State::Gone, Some(_)) => {}
                 (State::Leaving | State::Gone, _) if node.has_vm(&vm.name) => {
                     let start = incarnation.map(|it| it.to_string()).unwrap_or_default();
                     let id = format!("list/{}/{start}", vm.name);
-                    node.tell(Leave { id, vm: vm.name, node: incarnation });
+                    node.add_leave(Leave { id, vm: vm.name, node: incarnation });
                 }
                 (State::Leaving | State::Gone, _) => {}
             }
@@ -229,7 +229,7 @@
 
 async fn confirm(shared: &Arc<Shared>) {
     let in_force = shared.policy().version;
-    if let Some(version) = shared.keeper.visit(|node, _| node.confirmation()).await
+    if let Some(version) = shared.keeper.visit(|node, _| node.version_to_confirm()).await
         && version == in_force
     {
         let domain = shared.settings.domain.clone();
@@ -241,8 +241,8 @@
     let records = shared.settings.timing.checkpoint_records;
     let due = move |node: &mut Node, _| {
         let first = node.state.roster.iter().next().map(|it| it.incarnation);
-        let due = node.state.next - node.state.checkpoint >= records;
-        (due && first == Some(node.options().me)).then(|| Box::new(node.state.clone()))
+        let due = node.state.next_offset - node.state.checkpoint_offset >= records;
+        (due && first == Some(node.options().incarnation)).then(|| Box::new(node.state.clone()))
     };
     if let Some(state) = shared.keeper.visit(due).await {
         follower::append(shared, &Record::Checkpoint { state }).await;
@@ -251,7 +251,7 @@
 
 /// Collects the claims that departed nodes left with others.
 async fn settle(shared: &Arc<Shared>) {
-    for departed in shared.keeper.visit(|node, _| node.claims.unsettled()).await {
+    for departed in shared.keeper.visit(|node, _| node.claims.uncollected()).await {
         let holders = move |node: &mut Node, _| {
             let holders = node.state.roster.neighbours(departed, node.options().neighbours);
             holders.into_iter().cloned().collect::<Vec<_>>()
@@ -275,7 +275,7 @@
             }
         }
         if complete {
-            shared.keeper.visit(move |node, _| node.claims.settle(departed)).await;
+            shared.keeper.visit(move |node, _| node.claims.mark_collected(departed)).await;
             info!(event = "settled", node:% = departed, stream = CLAIMS; "");
         }
     }
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -3,7 +3,7 @@
 use crate::metrics::Counter;
 use crate::node::Shared;
 use crosslane_coordination::detector::Belief;
-use crosslane_coordination::node::{Node, Wanted};
+use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::slots::{Decision, Request};
 use crosslane_protocol::peer::PeerClient;
 use crosslane_state::incarnation::Incarnation;
@@ -40,11 +40,11 @@
 }
 
 /// Takes a slot of one of the runners that will do.
-pub async fn take(shared: &Shared, wanted: Wanted<'_>, ask: Request) -> Result<Slot, Error> {
+pub async fn take(shared: &Shared, wanted: Requirements<'_>, ask: Request) -> Result<Slot, Error> {
     let mut refused: Option<u64> = None;
     let mut avoid = Vec::new();
     for _ in 0..CANDIDATES {
-        let Some(runner) = place(shared, Wanted { avoid: &avoid, ..wanted }).await else {
+        let Some(runner) = place(shared, Requirements { exclude: &avoid, ..wanted }).await else {
             break;
         };
         match reserve(shared, runner.id, ask).await {
@@ -61,13 +61,14 @@
 }
 
 /// Chooses a runner.
-pub async fn place(shared: &Shared, wanted: Wanted<'_>) -> Option<Runner> {
-    let Wanted { role, work, .. } = wanted;
+pub async fn place(shared: &Shared, wanted: Requirements<'_>) -> Option<Runner> {
+    let Requirements { role, hold_ms: work, .. } = wanted;
     let (serves, domains) = (wanted.serves.to_owned(), wanted.domains.to_vec());
-    let avoid = wanted.avoid.to_vec();
+    let avoid = wanted.exclude.to_vec();
     let choose = move |node: &mut Node, now| {
         let (serves, domains, avoid) = (&serves, &domains, &avoid);
-        let id = node.place(Wanted { role, serves, domains, avoid, work }, now)?;
+        let id =
+            node.place(Requirements { role, serves, domains, exclude: avoid, hold_ms: work }, now)?;
         node.options().table.find(id).cloned()
     };
     shared.keeper.visit(choose).await
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -90,8 +90,10 @@
     }
 
     async fn snapshot(self, _: Context) -> Snapshot {
-        let known =
-            |node: &mut Node, _| Snapshot { state: node.state.clone(), guests: node.guests() };
+        let known = |node: &mut Node, _| Snapshot {
+            state: node.state.clone(),
+            guests: node.provisional_members(),
+        };
         self.shared.keeper.visit(known).await
     }
 
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -12,10 +12,10 @@
 use crate::sweep::{self, Hold};
 use crate::tape::{Head, Tape};
 use bytes::Bytes;
-use crosslane_coordination::node::{Node, Wanted};
+use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::retry::{self, Denial};
 use crosslane_coordination::slots::Request;
-use crosslane_coordination::splice::{Piece, Splice};
+use crosslane_coordination::splice::{Action, Splice};
 use crosslane_protocol::completion::Completion;
 use crosslane_protocol::engine::{Decode, Import, Line, Prefill};
 use crosslane_protocol::refusal::{Code, Refusal};
@@ -124,12 +124,12 @@
             let pause = self.retry(failure, attempt.round).await?;
             tokio::time::sleep(Duration::from_millis(pause)).await;
             attempt = attempt.next();
-            self.splice.switch(attempt);
+            self.splice.switch_attempt(attempt);
         }
     }
 
     async fn attempt(&mut self, attempt: attempt::Id, holds: &mut Holds) -> Result<(), Failure> {
-        let tokens = self.job.completion.prompt_tokens() + self.splice.next();
+        let tokens = self.job.completion.prompt_tokens() + self.splice.next_offset();
         let decode = self.take_decode(attempt, tokens, holds).await?;
         if tokens <= self.shared.settings.placement.local_prefill_tokens {
             self.shared.metrics.count(Counter::PrefillLocal);
@@ -205,12 +205,12 @@
     }
 
     async fn take(&self, role: Role, ask: Request) -> Result<Slot, Failure> {
-        let wanted = Wanted {
+        let wanted = Requirements {
             role,
             serves: &self.job.completion.model,
             domains: &self.job.verdict.domains,
-            avoid: &[],
-            work: ask.hold_ms,
+            exclude: &[],
+            hold_ms: ask.hold_ms,
         };
         reserve::take(&self.shared, wanted, ask).await.map_err(|error| match error {
             reserve::Error::NoRunner => Failure::NoRunner,
@@ -240,7 +240,7 @@
             attempt: attempt.to_string(),
             model: completion.model.clone(),
             prompt: completion.prompt.clone(),
-            done: self.splice.next(),
+            done: self.splice.next_offset(),
             quick: self.job.verdict.class == Class::Quick,
         };
         let expected = self.prefill_millis(completion.prompt_tokens());
@@ -339,15 +339,15 @@
     ) -> Result<(), engine::Error> {
         loop {
             match stream.next().await? {
-                Line::Piece { offset, text } => match self.splice.piece(attempt, offset) {
-                    Piece::Take => {
+                Line::Piece { offset, text } => match self.splice.accept(attempt, offset) {
+                    Action::Forward => {
                         holds.unused_tokens = 0;
                         self.tape.push(Bytes::from(text));
                     }
-                    Piece::Drop => {}
-                    Piece::Gap => return Err(broken("pieces are missing")),
+                    Action::Drop => {}
+                    Action::Gap => return Err(broken("pieces are missing")),
                 },
-                Line::End { total } if self.splice.end(attempt, total) => return Ok(()),
+                Line::End { total } if self.splice.finish(attempt, total) => return Ok(()),
                 Line::End { .. } => return Err(broken("end mark too early")),
             }
         }
@@ -356,7 +356,7 @@
     fn wanted(&self, attempt: attempt::Id) -> Decode {
         Decode {
             attempt: attempt.to_string(),
-            from: self.splice.next(),
+            from: self.splice.next_offset(),
             max_tokens: self.job.completion.max_tokens,
         }
     }
@@ -367,7 +367,7 @@
             Failure::Engine { runner, error } => (runner, error),
             other => return Err(self.refusal(&other)),
         };
-        let tokens = self.job.completion.prompt_tokens() + self.splice.next();
+        let tokens = self.job.completion.prompt_tokens() + self.splice.next_offset();
         let asked = retry::Failure {
             ran: self.ran,
             repeatable: self.job.verdict.repeatable,
@@ -376,7 +376,7 @@
             needs: self.prefill_millis(tokens),
         };
         let decide = move |node: &mut Node, now| {
-            node.failed(runner, now);
+            node.mark_failed(runner, now);
             node.budget.retry(asked)
         };
         match self.shared.keeper.visit(decide).await {
@@ -418,7 +418,7 @@
     }
 
     fn left(&self) -> u64 {
-        if self.splice.next() > 0 {
+        if self.splice.next_offset() > 0 {
             return AFTER_FIRST_MILLIS;
         }
         self.job.deadline.since(self.shared.clock.now())
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/sweep.rs
@@ -119,7 +119,7 @@
 async fn reconcile(shared: Arc<Shared>, runner: Runner) {
     let id = runner.id;
     let Some(held) = held(&shared, &runner).await else {
-        shared.keeper.visit(move |node, _| node.silent(id)).await;
+        shared.keeper.visit(move |node, _| node.mark_unresponsive(id)).await;
         return;
     };
     let plan = move |node: &mut Node, now| node.reconcile(id, &held, now);
