--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -129,7 +129,7 @@
         self.release_mark = node.ledger.release_count();
         self.released.clear();
         match node.route(&self.key, &self.released_by, now) {
-            Route::Local { ask: mut to_ask } => {
+            Route::Local { release_from: mut to_ask } => {
                 to_ask.reverse();
                 self.to_ask = to_ask;
                 self.ask_next(node, now)
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -76,7 +76,7 @@
     /// This node, after these nodes have released the key.
     Local {
         /// Nodes that may know the key.
-        ask: Vec<Incarnation>,
+        release_from: Vec<Incarnation>,
     },
     /// Another node.
     Remote(Incarnation),
@@ -207,7 +207,7 @@
     }
 
     /// Leave announcements to gossip.
-    pub fn told(&self) -> impl Iterator<Item = &Leave> {
+    pub fn leaves_to_gossip(&self) -> impl Iterator<Item = &Leave> {
         self.gossiped_leaves.values().chain(self.state.leaving.values())
     }
 
@@ -426,7 +426,7 @@
         let fallback = || ranked.iter().find(|member| !passed.contains(member));
         match ranked.iter().find(eligible).or_else(fallback) {
             Some(owner) if *owner == this_node => {
-                Route::Local { ask: self.previous_owners(&ranked, now) }
+                Route::Local { release_from: self.previous_owners(&ranked, now) }
             }
             Some(owner) => Route::Remote(*owner),
             None => Route::NoOwner,
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -267,8 +267,11 @@
 
     /// Sends a node the leave announcements known to the other nodes.
     fn gossip(&mut self, number: u64) {
-        let leaves: Vec<Leave> =
-            self.nodes.values().flat_map(|node| node.told().cloned().collect::<Vec<_>>()).collect();
+        let leaves: Vec<Leave> = self
+            .nodes
+            .values()
+            .flat_map(|node| node.leaves_to_gossip().cloned().collect::<Vec<_>>())
+            .collect();
         if let Some(node) = self.nodes.get_mut(&number) {
             leaves.into_iter().for_each(|leave| {
                 node.add_leave(leave);
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -50,7 +50,7 @@
 async fn status(shared: &Arc<Shared>) -> serde_json::Value {
     let folded = |node: &mut Node, now| {
         let newest = node.state.history.back().cloned();
-        let leaving: BTreeSet<_> = node.told().map(|it| it.vm.clone()).collect();
+        let leaving: BTreeSet<_> = node.leaves_to_gossip().map(|it| it.vm.clone()).collect();
         let owned: Vec<_> = node.owned().map(|it| it.name.clone()).collect();
         let load = |(id, load): &(_, Report)| json!({ "runner": id, "load": load });
         let loads: Vec<_> = node.load_reports(now).iter().map(load).collect();
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -113,7 +113,13 @@
             for (id, report) in &loads {
                 node.board.report(*id, *report, now);
             }
-            Beat { from, version, loads, leaves: node.told().cloned().collect(), newcomer }
+            Beat {
+                from,
+                version,
+                loads,
+                leaves: node.leaves_to_gossip().cloned().collect(),
+                newcomer,
+            }
         })
         .await
 }
