--- a/crates/coordination/src/reconcile.rs
+++ b/crates/coordination/src/reconcile.rs
@@ -14,7 +14,7 @@
     /// Attempts to cancel, as their nodes are dead.
     pub cancel: Vec<Id>,
     /// Attempts to confirm, by the node to ask whether it still needs them.
-    pub ask: BTreeMap<Incarnation, Vec<Id>>,
+    pub confirm: BTreeMap<Incarnation, Vec<Id>>,
 }
 
 /// Plans the actions for held attempts by the liveness of the nodes that made them.
@@ -27,7 +27,7 @@
         match belief(attempt.origin) {
             Belief::Dead => plan.cancel.push(*attempt),
             Belief::Alive if *due => {
-                plan.ask.entry(attempt.origin).or_default().push(*attempt);
+                plan.confirm.entry(attempt.origin).or_default().push(*attempt);
             }
             Belief::Alive | Belief::Suspect => {}
         }
--- a/crates/coordination/src/stages.rs
+++ b/crates/coordination/src/stages.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records an order sent by another node, unless one for the engine is known.
-    pub fn told(&mut self, change: Change, now: Millis) {
+    pub fn record_peer_order(&mut self, change: Change, now: Millis) {
         self.orders.entry(change.key).or_insert((change.stage, now));
     }
 
--- a/crates/coordination/tests/detector.rs
+++ b/crates/coordination/tests/detector.rs
@@ -44,6 +44,6 @@
     };
     let plan = plan(&[(of(1), true), (of(1), false), (of(2), true), (of(3), false)], belief);
     assert_eq!(plan.cancel, [of(3)]);
-    assert_eq!(plan.ask[&Incarnation(1)], [of(1)]);
-    assert_eq!(plan.ask.len(), 1, "a suspect is neither asked nor cancelled");
+    assert_eq!(plan.confirm[&Incarnation(1)], [of(1)]);
+    assert_eq!(plan.confirm.len(), 1, "a suspect is neither asked nor cancelled");
 }
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -107,7 +107,7 @@
             let tag = engine.tag();
             let order = turn.orders.iter().find(|it| it.0 == tag);
             if let Some((_, stage)) = order.filter(|it| it.1 != engine.stage) {
-                plan.told(Change { key, stage: *stage }, now);
+                plan.record_peer_order(Change { key, stage: *stage }, now);
             }
         }
     }
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/sweep.rs
@@ -127,7 +127,7 @@
         return;
     };
     let mut unwanted = plan.cancel;
-    for (origin, attempts) in plan.ask {
+    for (origin, attempts) in plan.confirm {
         unwanted.extend(disowned(&shared, origin, attempts).await);
     }
     unwanted.into_iter().for_each(|it| reclaim(&shared, &runner, it, Some(shared.me)));
