--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -131,8 +131,8 @@
 impl Timeouts {
     /// Time that a caller with this timeout spent on earlier tries, in milliseconds; zero if the
     /// timeout may be that of a first try.
-    pub fn spent_ms(&mut self, patience: u64, now: Millis) -> u64 {
-        self.samples.push_back((now, patience));
+    pub fn spent_ms(&mut self, timeout_ms: u64, now: Millis) -> u64 {
+        self.samples.push_back((now, timeout_ms));
         while self.samples.len() > MAX_SAMPLES
             || self.samples.front().is_some_and(|sample| now.since(sample.0) >= HISTORY_MS)
         {
@@ -143,6 +143,6 @@
         let last_index = values.len() - 1;
         let (longest, upper_quartile) = (values[last_index], values[last_index - last_index / 4]);
         let shortest_first_try = longest.saturating_sub(SPREAD_FACTOR * (longest - upper_quartile));
-        if patience < shortest_first_try { upper_quartile - patience } else { 0 }
+        if timeout_ms < shortest_first_try { upper_quartile - timeout_ms } else { 0 }
     }
 }
--- a/crates/coordination/src/choice.rs
+++ b/crates/coordination/src/choice.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a placement asks for.
+/// Requirements on the endpoint of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     /// Service.
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -103,7 +103,7 @@
         let weight = hash::weight(key, at.0);
         let ranked_higher =
             |departed: &&Departed| hash::weight(key, departed.incarnation.0) > weight;
-        let mut unsettled = self.departures.iter().filter(|departed| !departed.claims_collected);
-        unsettled.find(ranked_higher).map(|_| Doubt::ClaimsIncomplete)
+        let mut uncollected = self.departures.iter().filter(|departed| !departed.claims_collected);
+        uncollected.find(ranked_higher).map(|_| Doubt::ClaimsIncomplete)
     }
 }
--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/fold.rs
@@ -100,7 +100,7 @@
 
     /// Outcome of a publication.
     pub fn outcome(&self, id: &str) -> Option<&Outcome> {
-        self.outcomes.iter().rev().find(|(known, _)| known == id).map(|(_, verdict)| verdict)
+        self.outcomes.iter().rev().find(|(known, _)| known == id).map(|(_, outcome)| outcome)
     }
 
     /// An announcement with its node filled in, if the VM has a member.
@@ -250,8 +250,8 @@
         }
     }
 
-    fn record_outcome(&mut self, id: String, verdict: Outcome) {
-        self.outcomes.push_back((id, verdict));
+    fn record_outcome(&mut self, id: String, outcome: Outcome) {
+        self.outcomes.push_back((id, outcome));
         if self.outcomes.len() > MAX_REMEMBERED {
             self.outcomes.pop_front();
         }
--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -148,11 +148,11 @@
     pub fn on_release_reply(
         &mut self,
         by: Incarnation,
-        inquired: ReleaseReply,
+        reply: ReleaseReply,
         node: &mut Node,
         now: Millis,
     ) -> Step {
-        match inquired {
+        match reply {
             ReleaseReply::Held => return self.hand_to(by),
             ReleaseReply::NoReply if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
             ReleaseReply::NoReply | ReleaseReply::Released => self.released.push(by),
@@ -164,11 +164,11 @@
     pub fn on_forward_outcome(
         &mut self,
         to: Incarnation,
-        forwarded: ForwardOutcome,
+        outcome: ForwardOutcome,
         node: &mut Node,
         now: Millis,
     ) -> Step {
-        match forwarded {
+        match outcome {
             ForwardOutcome::Redirected(_) if self.redirected_by.len() >= MAX_FORWARDS => {
                 Step::Refuse(Refusal::Unreachable)
             }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -155,14 +155,14 @@
         self.release_count
     }
 
-    /// Takes back a key that was released to a node which has released it in turn, as told by
-    /// `given_up`.
+    /// Takes back a key that was released to a node which has released it in turn, according
+    /// to `has_released`.
     ///
     /// Applies only to releases numbered up to `until`. A later release, made while this node was
     /// still asking, may have gone to the very node that appears to have released the key.
-    pub fn reclaim(&mut self, key: &Key, until: u64, given_up: impl Fn(Incarnation) -> bool) {
+    pub fn reclaim(&mut self, key: &Key, until: u64, has_released: impl Fn(Incarnation) -> bool) {
         let released_back = |entry: &Entry| match entry.phase {
-            Phase::Released { to, order } => order <= until && given_up(to),
+            Phase::Released { to, order } => order <= until && has_released(to),
             _ => false,
         };
         if self.entries.get(key).is_some_and(released_back) {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,7 +1,8 @@
-//! Every decision of a crosslane node.
+//! Decision logic of a crosslane node, without I/O.
 //!
-//! Events, the time and a seed go in; answers and actions come out. Nothing here does I/O,
-//! reads a clock or draws randomness of its own, so that any order of events can be replayed.
+//! The inputs are events, the current time and a random seed; the outputs are answers and actions.
+//! Nothing here does I/O, reads a clock or uses other randomness, so that any sequence of events can
+//! be replayed.
 
 pub mod admission;
 pub mod allowance;
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -294,8 +294,8 @@
 
     /// Chooses a runner. Prefers those with a recent load report, then those that have not failed
     /// recently.
-    pub fn place(&mut self, wanted: Requirements<'_>, now: Millis) -> Option<Id> {
-        let Requirements { role, serves, domains, exclude: avoid, hold_ms: work } = wanted;
+    pub fn place(&mut self, requirements: Requirements<'_>, now: Millis) -> Option<Id> {
+        let Requirements { role, serves, domains, exclude: avoid, hold_ms: work } = requirements;
         let (gossiped, state) = (&self.gossiped_leaves, &self.state);
         let table = &self.options.table;
         let board = &self.board;
@@ -324,14 +324,14 @@
     }
 
     /// Requests a slot of an owned runner; `None` means that the request is queued.
-    pub fn request_slot(&mut self, runner: Id, ask: Request, now: Millis) -> Option<Decision> {
+    pub fn request_slot(&mut self, runner: Id, request: Request, now: Millis) -> Option<Decision> {
         match self.allocator(runner) {
-            Some(allocator) => allocator.request_slot(ask, now),
+            Some(allocator) => allocator.request_slot(request, now),
             None => Some(Decision::NotOwner),
         }
     }
 
-    /// The grant of an attempt, if it holds a slot.
+    /// The decision for an attempt that holds a slot.
     pub fn slot_decision(&self, runner: Id, attempt: attempt::Id, now: Millis) -> Option<Decision> {
         self.allocators.get(&runner)?.decision(attempt, now)
     }
@@ -414,16 +414,17 @@
         self.detector.belief(node, now)
     }
 
-    /// Node that handles a keyed request. Nodes in `passed` have released the key.
+    /// Node that handles a keyed request. Nodes in `released_by` have released the key.
     ///
     /// If all members are leaving, the first one still owns the key, so that a key never has two
     /// owners.
-    pub fn route(&self, key: &Key, passed: &[Incarnation], now: Millis) -> Route {
+    pub fn route(&self, key: &Key, released_by: &[Incarnation], now: Millis) -> Route {
         let this_node = self.options.incarnation;
         let ranked = self.state.roster.ranked(key.hash());
-        let eligible =
-            |member: &&Incarnation| !self.is_member_leaving(**member) && !passed.contains(member);
-        let fallback = || ranked.iter().find(|member| !passed.contains(member));
+        let eligible = |member: &&Incarnation| {
+            !self.is_member_leaving(**member) && !released_by.contains(member)
+        };
+        let fallback = || ranked.iter().find(|member| !released_by.contains(member));
         match ranked.iter().find(eligible).or_else(fallback) {
             Some(owner) if *owner == this_node => {
                 Route::Local { release_from: self.previous_owners(&ranked, now) }
@@ -441,16 +442,16 @@
             self.first_seen.get(member).is_none_or(|seen| now.since(*seen) < window)
         };
         let rank = ranked.iter().position(|member| *member == this_node).unwrap_or(ranked.len());
-        let mut ask = ranked[..rank].to_vec();
+        let mut owners = ranked[..rank].to_vec();
         if joined_recently(&this_node) {
             for member in ranked.iter().skip(rank + 1) {
-                ask.push(*member);
+                owners.push(*member);
                 if !joined_recently(member) {
                     break;
                 }
             }
         }
-        ask
+        owners
     }
 
     /// Why a request may have been run by another node although the ledger has no record of its key.
--- a/crates/coordination/src/slots.rs
+++ b/crates/coordination/src/slots.rs
@@ -62,7 +62,7 @@
     pub transfer_ms: u64,
 }
 
-/// Answer to a request for a slot.
+/// Decision on a request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
     /// The slot is reserved, and the runner's link from the end of the prefill on.
@@ -94,18 +94,18 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    ask: Request,
+    request: Request,
     queued_at: Millis,
     sequence: u64,
 }
 
 impl Waiter {
     fn deadline(&self) -> Millis {
-        self.queued_at + self.ask.max_wait_ms
+        self.queued_at + self.request.max_wait_ms
     }
 
     fn class(&self, now: Millis) -> Class {
-        if now.since(self.queued_at) >= AGING_MS { Class::Quick } else { self.ask.class }
+        if now.since(self.queued_at) >= AGING_MS { Class::Quick } else { self.request.class }
     }
 }
 
@@ -154,37 +154,37 @@
     }
 
     /// Grants or refuses a request, or queues it and returns `None`. Idempotent per attempt.
-    pub fn request_slot(&mut self, ask: Request, now: Millis) -> Option<Decision> {
-        if let Some(grant) = self.decision(ask.attempt, now) {
-            return Some(grant);
+    pub fn request_slot(&mut self, request: Request, now: Millis) -> Option<Decision> {
+        if let Some(decision) = self.decision(request.attempt, now) {
+            return Some(decision);
         }
         if self.down {
             return Some(Decision::Refused { retry_after: DOWN_RETRY_AFTER_MS });
         }
-        if self.waiters.iter().any(|waiter| waiter.ask.attempt == ask.attempt) {
+        if self.waiters.iter().any(|waiter| waiter.request.attempt == request.attempt) {
             return None;
         }
         let waiters_before =
-            self.waiters.iter().filter(|waiter| waiter.class(now) <= ask.class).count();
-        let link_wait = self.link_wait_ms(&ask, now);
-        if ask.transfer_ms > 0 && link_wait > ask.max_wait_ms {
+            self.waiters.iter().filter(|waiter| waiter.class(now) <= request.class).count();
+        let link_wait = self.link_wait_ms(&request, now);
+        if request.transfer_ms > 0 && link_wait > request.max_wait_ms {
             return Some(Decision::Refused { retry_after: link_wait.max(MIN_RETRY_AFTER_MS) });
         }
-        if waiters_before == 0 && self.fits(&ask, now) {
-            self.occupy(&ask, now);
-            return self.decision(ask.attempt, now);
+        if waiters_before == 0 && self.fits(&request, now) {
+            self.occupy(&request, now);
+            return self.decision(request.attempt, now);
         }
-        let wait = self.expected_wait_ms(|waiter| waiter.class(now) <= ask.class, now);
+        let wait = self.expected_wait_ms(|waiter| waiter.class(now) <= request.class, now);
         let full = self.waiters.len() >= self.limits.slots as usize * MAX_WAITERS_PER_SLOT;
-        if wait > ask.max_wait_ms.saturating_add(ask.lead_ms) || full {
+        if wait > request.max_wait_ms.saturating_add(request.lead_ms) || full {
             return Some(Decision::Refused { retry_after: wait.max(MIN_RETRY_AFTER_MS) });
         }
         self.sequence += 1;
-        self.waiters.push(Waiter { ask, queued_at: now, sequence: self.sequence });
+        self.waiters.push(Waiter { request, queued_at: now, sequence: self.sequence });
         None
     }
 
-    /// The grant of an attempt, if it holds a slot.
+    /// The decision for an attempt that holds a slot.
     pub fn decision(&self, attempt: Id, now: Millis) -> Option<Decision> {
         let holder = self.holders.get(&attempt)?;
         let next_wait_ms = self.report(now).wait_millis;
@@ -194,7 +194,7 @@
     /// Removes an attempt from the holders and the queue; returns the attempts that were granted a
     /// slot in turn.
     pub fn release(&mut self, attempt: Id, now: Millis) -> Vec<Id> {
-        self.waiters.retain(|waiter| waiter.ask.attempt != attempt);
+        self.waiters.retain(|waiter| waiter.request.attempt != attempt);
         self.released.insert(attempt, now);
         self.vacate(attempt, now);
         self.grant_waiting(now)
@@ -204,20 +204,20 @@
     pub fn grant_waiting(&mut self, now: Millis) -> Vec<Id> {
         let mut granted = Vec::new();
         while let Some(index) = self.next_waiter(now) {
-            if !self.fits(&self.waiters[index].ask.clone(), now) {
+            if !self.fits(&self.waiters[index].request.clone(), now) {
                 break;
             }
             let waiter = self.waiters.swap_remove(index);
-            self.occupy(&waiter.ask, now);
-            granted.push(waiter.ask.attempt);
+            self.occupy(&waiter.request, now);
+            granted.push(waiter.request.attempt);
         }
         granted
     }
 
     /// Records whether the runner responds. While it does not, new requests are refused and waiting
     /// ones expire.
-    pub fn set_responsive(&mut self, answers: bool) {
-        self.down = !answers;
+    pub fn set_responsive(&mut self, responsive: bool) {
+        self.down = !responsive;
     }
 
     /// Removes waiting requests that are past their deadline, or all if the runner is down; returns
@@ -227,7 +227,7 @@
             self.waiters.iter().partition(|waiter| self.down || waiter.deadline() <= now);
         self.waiters = remaining;
         let expired: Vec<Waiter> = expired;
-        expired.into_iter().map(|waiter| waiter.ask.attempt).collect()
+        expired.into_iter().map(|waiter| waiter.request.attempt).collect()
     }
 
     /// Adds the attempts that the engine lists but that an earlier owner granted as holders, until
@@ -245,7 +245,7 @@
         }
         for attempt in listed {
             if !self.holders.contains_key(attempt) && !self.released.contains_key(attempt) {
-                let adopted_ask = Request {
+                let adopted_request = Request {
                     attempt: *attempt,
                     class: Class::Patient,
                     organisation: Organisation(0),
@@ -255,7 +255,7 @@
                     hold_ms: 0,
                     transfer_ms: 0,
                 };
-                self.occupy(&adopted_ask, now);
+                self.occupy(&adopted_request, now);
                 self.holders.entry(*attempt).and_modify(|holder| holder.adopted = true);
             }
         }
@@ -300,7 +300,7 @@
         };
         let held: u64 = self.holders.values().map(remaining_ms).sum();
         let queued = self.waiters.iter().filter(|waiter| before(waiter));
-        let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.ask.hold_ms)).sum();
+        let queued: u64 = queued.map(|waiter| self.corrected_hold_ms(waiter.request.hold_ms)).sum();
         (held + queued) / u64::from(self.limits.slots.max(1))
     }
 
@@ -330,14 +330,16 @@
         hold * self.hold_ratio / RATIO_ONE
     }
 
-    fn fits(&self, ask: &Request, now: Millis) -> bool {
+    fn fits(&self, request: &Request, now: Millis) -> bool {
         let capacity = self.limits.kv_tokens;
-        if capacity > 0 && self.kv_tokens_held > 0 && self.kv_tokens_held + ask.kv_tokens > capacity
+        if capacity > 0
+            && self.kv_tokens_held > 0
+            && self.kv_tokens_held + request.kv_tokens > capacity
         {
             return false;
         }
         let held = self.holders.len() as u32;
-        held < self.limits.slots + self.predicted_releases(ask.lead_ms, now)
+        held < self.limits.slots + self.predicted_releases(request.lead_ms, now)
     }
 
     /// Releases expected within half of a lead time; zero if early grants are off.
@@ -356,34 +358,34 @@
     fn next_waiter(&self, now: Millis) -> Option<usize> {
         let rank = |waiter: &Waiter| {
             let slots_held =
-                self.slots_by_organisation.get(&waiter.ask.organisation).copied().unwrap_or(0);
+                self.slots_by_organisation.get(&waiter.request.organisation).copied().unwrap_or(0);
             (waiter.class(now), slots_held, waiter.deadline(), waiter.sequence)
         };
         (0..self.waiters.len()).min_by_key(|index| rank(&self.waiters[*index]))
     }
 
     /// Time that the link is still busy after the end of a prefill that starts now.
-    fn link_wait_ms(&self, ask: &Request, now: Millis) -> u64 {
-        self.link_free_at.since(now + ask.lead_ms)
+    fn link_wait_ms(&self, request: &Request, now: Millis) -> u64 {
+        self.link_free_at.since(now + request.lead_ms)
     }
 
-    fn occupy(&mut self, ask: &Request, now: Millis) {
-        let start_in = if ask.transfer_ms > 0 { self.link_wait_ms(ask, now) } else { 0 };
-        if ask.transfer_ms > 0 {
-            self.link_free_at = now + start_in + ask.lead_ms + ask.transfer_ms;
+    fn occupy(&mut self, request: &Request, now: Millis) {
+        let start_in = if request.transfer_ms > 0 { self.link_wait_ms(request, now) } else { 0 };
+        if request.transfer_ms > 0 {
+            self.link_free_at = now + start_in + request.lead_ms + request.transfer_ms;
         }
-        self.kv_tokens_held += ask.kv_tokens;
-        *self.slots_by_organisation.entry(ask.organisation).or_default() += 1;
+        self.kv_tokens_held += request.kv_tokens;
+        *self.slots_by_organisation.entry(request.organisation).or_default() += 1;
         let holder = Holder {
-            organisation: ask.organisation,
-            kv_tokens: ask.kv_tokens,
-            expected_hold_ms: ask.hold_ms,
+            organisation: request.organisation,
+            kv_tokens: request.kv_tokens,
+            expected_hold_ms: request.hold_ms,
             granted_at: now,
             verified_at: now,
             adopted: false,
             start_in_ms: start_in,
         };
-        self.holders.insert(ask.attempt, holder);
+        self.holders.insert(request.attempt, holder);
     }
 }
 
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -13,40 +13,40 @@
 struct Case {
     name: &'static str,
     caller: Caller,
-    standing: Tier,
+    tier: Tier,
     wait: u64,
 }
 
 #[rstest]
-#[case(Case { name: "first try", caller: FIRST_TRY, standing: Tier::OnTime, wait: 450 })]
+#[case(Case { name: "first try", caller: FIRST_TRY, tier: Tier::OnTime, wait: 450 })]
 #[case(Case {
     name: "lost a packet",
     caller: Caller { spent_ms: 200, ..FIRST_TRY },
-    standing: Tier::OnTime,
+    tier: Tier::OnTime,
     wait: 450,
 })]
 #[case(Case {
     name: "retry after a refusal",
     caller: Caller { spent_ms: 2_300, ..FIRST_TRY },
-    standing: Tier::Late,
+    tier: Tier::Late,
     wait: 2_880,
 })]
 #[case(Case {
     name: "resumes a stream",
     caller: Caller { resumes: true, ..FIRST_TRY },
-    standing: Tier::Resumed,
+    tier: Tier::Resumed,
     wait: 2_880,
 })]
 #[case(Case {
     name: "late, with a long target",
     caller: Caller { target_ms: 5_000, max_silence_ms: 20_000, spent_ms: 6_000, resumes: false },
-    standing: Tier::Late,
+    tier: Tier::Late,
     wait: 16_000,
 })]
-fn standing(#[case] case: Case) {
-    let standing = Tier::from(&case.caller);
-    assert_eq!(standing, case.standing, "{}", case.name);
-    assert_eq!(standing.max_wait_ms(&case.caller), case.wait, "{}", case.name);
+fn tier(#[case] case: Case) {
+    let tier = Tier::from(&case.caller);
+    assert_eq!(tier, case.tier, "{}", case.name);
+    assert_eq!(tier.max_wait_ms(&case.caller), case.wait, "{}", case.name);
 }
 
 #[rstest]
@@ -84,8 +84,12 @@
 })]
 #[case(History { name: "after an idle period", callers: &[(0, 14_000), (60_000, 9_000)], spent: 0 })]
 fn time_spent_follows_from_recent_timeouts(#[case] case: History) {
-    let mut patience = Timeouts::default();
-    let spent = case.callers.iter().map(|(at, told)| patience.spent_ms(*told, Millis(*at))).last();
+    let mut timeouts = Timeouts::default();
+    let spent = case
+        .callers
+        .iter()
+        .map(|(at, timeout_ms)| timeouts.spent_ms(*timeout_ms, Millis(*at)))
+        .last();
     assert_eq!(spent, Some(case.spent), "{}", case.name);
 }
 
@@ -94,13 +98,13 @@
 #[rstest]
 fn callers_with_different_timeouts_are_not_taken_for_retries() {
     let mut random = SmallRng::seed_from_u64(5);
-    let mut patience = Timeouts::default();
+    let mut timeouts = Timeouts::default();
     let (mut misclassified, mut detected, mut first_tries, mut retries) = (0, 0, 0, 0);
     for now in (0..600_000).step_by(500) {
         let timeout = random.random_range(11_900..=16_100);
         let is_retry = random.random_bool(1.0 / 6.0);
         let remaining = if is_retry { timeout - 3_000 } else { timeout };
-        let late = patience.spent_ms(remaining, Millis(now)) > 0;
+        let late = timeouts.spent_ms(remaining, Millis(now)) > 0;
         if now < 10_000 {
             continue;
         }
--- a/crates/coordination/tests/fold.rs
+++ b/crates/coordination/tests/fold.rs
@@ -54,7 +54,7 @@
     records: Vec<Record>,
     version: u64,
     accepted: bool,
-    verdicts: Vec<(&'static str, Outcome)>,
+    outcomes: Vec<(&'static str, Outcome)>,
 }
 
 #[rstest]
@@ -63,28 +63,28 @@
     records: vec![publish("a", 0), publish("b", 0)],
     version: 1,
     accepted: false,
-    verdicts: vec![("a", Outcome::Applied(Version(1))), ("b", Outcome::Conflict(Version(1)))],
+    outcomes: vec![("a", Outcome::Applied(Version(1))), ("b", Outcome::Conflict(Version(1)))],
 })]
 #[case(Case {
     name: "a duplicate publication has no effect",
     records: vec![publish("a", 0), publish("a", 0), publish("a", 1)],
     version: 1,
     accepted: false,
-    verdicts: vec![("a", Outcome::Applied(Version(1)))],
+    outcomes: vec![("a", Outcome::Applied(Version(1)))],
 })]
 #[case(Case {
     name: "accepted once every failure domain with members has confirmed",
     records: vec![join(0, 1), join(1, 2), publish("a", 0), confirm(1, "Aarau"), confirm(1, "Olten")],
     version: 1,
     accepted: true,
-    verdicts: vec![],
+    outcomes: vec![],
 })]
 #[case(Case {
     name: "not accepted while a failure domain has not confirmed",
     records: vec![join(0, 1), join(1, 2), publish("a", 0), confirm(1, "Aarau")],
     version: 1,
     accepted: false,
-    verdicts: vec![],
+    outcomes: vec![],
 })]
 #[case(Case {
     name: "accepted once the unconfirmed domain has no members",
@@ -97,14 +97,14 @@
     ],
     version: 1,
     accepted: true,
-    verdicts: vec![],
+    outcomes: vec![],
 })]
 #[case(Case {
     name: "a withdrawn policy is replaced under a higher version",
     records: vec![publish("a", 0), Record::Withdraw { publication: "a".into() }],
     version: 2,
     accepted: false,
-    verdicts: vec![("a", Outcome::Withdrawn)],
+    outcomes: vec![("a", Outcome::Withdrawn)],
 })]
 #[case(Case {
     name: "an accepted policy can't be withdrawn",
@@ -116,21 +116,21 @@
     ],
     version: 1,
     accepted: true,
-    verdicts: vec![("a", Outcome::Applied(Version(1)))],
+    outcomes: vec![("a", Outcome::Applied(Version(1)))],
 })]
 #[case(Case {
     name: "a confirmation of an older version does not count for the newest",
     records: vec![join(0, 1), publish("a", 0), publish("b", 1), confirm(1, "Aarau")],
     version: 2,
     accepted: false,
-    verdicts: vec![],
+    outcomes: vec![],
 })]
 fn policy(#[case] case: Case) {
     let state = folded(&case.records);
     assert_eq!(state.version(), Version(case.version), "{}", case.name);
     assert_eq!(state.history.back().unwrap().accepted, case.accepted, "{}", case.name);
-    for (id, verdict) in case.verdicts {
-        assert_eq!(state.outcome(id), Some(&verdict), "{}", case.name);
+    for (id, outcome) in case.outcomes {
+        assert_eq!(state.outcome(id), Some(&outcome), "{}", case.name);
     }
 }
 
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -215,18 +215,18 @@
                 let by = Incarnation(request.at);
                 let name = key(request.key);
                 // The other node may release the key while its reply is lost.
-                let reply =
+                let released =
                     self.nodes.get_mut(&other.0).map(|node| node.ledger.release(&name, by, now));
-                let inquired = match reply {
+                let reply = match released {
                     Some(true) if delivery == Delivery::Delivered => ReleaseReply::Released,
                     Some(false) if delivery == Delivery::Delivered => ReleaseReply::Held,
                     _ => ReleaseReply::NoReply,
                 };
                 let node = self.nodes.get_mut(&request.at).unwrap();
                 let gone = node.state.roster.get(other).is_none();
-                let inquired = if gone { ReleaseReply::Released } else { inquired };
+                let reply = if gone { ReleaseReply::Released } else { reply };
                 request.stage =
-                    Stage::Decided(request.flow.on_release_reply(other, inquired, node, now));
+                    Stage::Decided(request.flow.on_release_reply(other, reply, node, now));
             }
             Step::Forward(owner)
                 if delivery == Delivery::Delivered && self.nodes.contains_key(&owner.0) =>
@@ -237,8 +237,8 @@
                     self.requests[forwarded_request].stage
                 {
                     let node = self.nodes.get_mut(&request.at).unwrap();
-                    let forwarded = ForwardOutcome::Redirected(named);
-                    let step = request.flow.on_forward_outcome(owner, forwarded, node, now);
+                    let outcome = ForwardOutcome::Redirected(named);
+                    let step = request.flow.on_forward_outcome(owner, outcome, node, now);
                     request.stage = Stage::Decided(step);
                 } else {
                     request.ended = true;
--- a/crates/coordination/tests/overload.rs
+++ b/crates/coordination/tests/overload.rs
@@ -12,12 +12,12 @@
 
 /// All callers wait for the same short time, up to a full engine.
 fn first_come(_: &Caller) -> Terms {
-    Terms { full: 1.0, wait: 216 }
+    Terms { max_utilization: 1.0, max_wait_ms: 216 }
 }
 
 /// All callers wait until shortly before their silence timeout, up to a full engine.
 fn long_wait(_: &Caller) -> Terms {
-    Terms { full: 1.0, wait: 2_880 }
+    Terms { max_utilization: 1.0, max_wait_ms: 2_880 }
 }
 
 const BURSTS: Load = Load {
--- a/crates/coordination/tests/pool.rs
+++ b/crates/coordination/tests/pool.rs
@@ -197,18 +197,18 @@
 #[case(Spread { name: "three requests each", used: 15_000, domain: "olten" })]
 fn a_large_pool_prefers_the_own_failure_domain(#[case] case: Spread) {
     let mut pool = Pool::new("aarau".into(), SmallRng::seed_from_u64(1));
-    let domain = |place: usize| if place < 20 { "aarau" } else { "olten" };
-    let engines = (0..40).map(|place| Endpoint {
-        domain: domain(place).into(),
-        ..endpoint(&format!("e{place}"), false)
+    let domain = |index: usize| if index < 20 { "aarau" } else { "olten" };
+    let engines = (0..40).map(|index| Endpoint {
+        domain: domain(index).into(),
+        ..endpoint(&format!("e{index}"), false)
     });
     pool.replace(engines.collect(), false, Millis(0));
-    let reported = (0..20).map(|place| (tag(&format!("e{place}")), usage(1, case.used)));
+    let reported = (0..20).map(|index| (tag(&format!("e{index}")), usage(1, case.used)));
     pool.apply_usage_report(Tag(7), reported.collect(), UNTIL);
     for _ in 0..50 {
         let id = chosen(&mut pool, 100).unwrap();
-        let place: usize = id[1..].parse().unwrap();
-        assert_eq!(domain(place), case.domain, "{}", case.name);
+        let index: usize = id[1..].parse().unwrap();
+        assert_eq!(domain(index), case.domain, "{}", case.name);
     }
 }
 
@@ -335,15 +335,15 @@
 #[case(Placed { name: "larger than the capacity, but the engine is idle", used: (0, 0), needed: 60_000, domain: Some("aarau") })]
 fn an_engine_without_room_is_not_chosen(#[case] case: Placed) {
     let mut pool = Pool::new("aarau".into(), SmallRng::seed_from_u64(1));
-    let domain = |place: usize| if place < 20 { "aarau" } else { "olten" };
-    let engine = |place: usize| Endpoint {
-        domain: domain(place).into(),
-        ..endpoint(&format!("e{place}"), false)
+    let domain = |index: usize| if index < 20 { "aarau" } else { "olten" };
+    let engine = |index: usize| Endpoint {
+        domain: domain(index).into(),
+        ..endpoint(&format!("e{index}"), false)
     };
     pool.replace((0..40).map(engine).collect(), false, Millis(0));
-    let reported = (0..40).map(|place| {
-        let tokens = if place < 20 { case.used.0 } else { case.used.1 };
-        (tag(&format!("e{place}")), usage(u32::from(tokens > 0), tokens))
+    let reported = (0..40).map(|index| {
+        let tokens = if index < 20 { case.used.0 } else { case.used.1 };
+        (tag(&format!("e{index}")), usage(u32::from(tokens > 0), tokens))
     });
     pool.apply_usage_report(Tag(7), reported.collect(), UNTIL);
     let room = Some(Room { tokens: case.needed, max_utilization: 1.0 });
--- a/crates/coordination/tests/replay/mod.rs
+++ b/crates/coordination/tests/replay/mod.rs
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     /// Utilization above which an engine is considered full.
-    pub full: f64,
+    pub max_utilization: f64,
     /// Longest wait, in milliseconds.
-    pub wait: u64,
+    pub max_wait_ms: u64,
 }
 
 /// Admission rule: the terms of a caller.
@@ -46,8 +46,8 @@
 
 /// The rule under test.
 pub fn admission(caller: &Caller) -> Terms {
-    let standing = Tier::from(caller);
-    Terms { full: standing.max_utilization(), wait: standing.max_wait_ms(caller) }
+    let tier = Tier::from(caller);
+    Terms { max_utilization: tier.max_utilization(), max_wait_ms: tier.max_wait_ms(caller) }
 }
 
 /// A load.
@@ -210,13 +210,14 @@
     let least_loaded = (0..used.len()).min_by_key(|engine| used[*engine]);
     if let Some(engine) = least_loaded.filter(|_| polls) {
         let load = used[engine] as f64 / CAPACITY_TOKENS as f64;
-        if load <= terms.full && used[engine] + stream.tokens_needed() <= CAPACITY_TOKENS {
+        if load <= terms.max_utilization && used[engine] + stream.tokens_needed() <= CAPACITY_TOKENS
+        {
             used[engine] += stream.tokens_needed();
             stream.state = State::Running { engine, until: now + stream.run_ms() };
             return;
         }
     }
-    if now - since < terms.wait {
+    if now - since < terms.max_wait_ms {
         return;
     }
     let retry_at = now + random.random_range(2_000..4_400);
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -49,9 +49,9 @@
 fn split(#[case] case: Split) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Planner::default();
-    plan.changes(engines, Millis(0));
-    let changes = plan.changes(engines, Millis(1_000));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let changes = planner.changes(engines, Millis(1_000));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
     assert!(changes.iter().all(|change| Some(change.stage) == case.to), "{}", case.name);
 }
@@ -59,29 +59,29 @@
 #[rstest]
 fn nothing_is_ordered_while_the_list_changes() {
     let mut pool = pool(5, 4);
-    let mut plan = Planner::default();
+    let mut planner = Planner::default();
     for round in 1..5_usize {
-        assert!(plan.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
+        assert!(planner.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
         let mut engines: Vec<Endpoint> =
             pool.engines()[SERVICE].iter().map(|(_, endpoint)| (*endpoint).clone()).collect();
         engines.push(engine(10 + round, Stage::Decode));
         pool.replace(engines, false, Millis(0));
     }
     let settled = Millis(10_000);
-    plan.changes(&pool.engines()[SERVICE], settled);
-    assert_eq!(plan.changes(&pool.engines()[SERVICE], settled + 1_000).len(), 1);
+    planner.changes(&pool.engines()[SERVICE], settled);
+    assert_eq!(planner.changes(&pool.engines()[SERVICE], settled + 1_000).len(), 1);
 }
 
 #[rstest]
 fn an_engine_gets_no_second_order_while_the_first_may_be_executed() {
     let pool = pool(4, 5);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Planner::default();
-    plan.changes(engines, Millis(0));
-    let change = plan.changes(engines, Millis(1_000))[0];
-    plan.record_own_order(change, Millis(1_000));
-    assert!(plan.changes(engines, Millis(15_000)).is_empty());
-    assert_eq!(plan.changes(engines, Millis(22_000)).len(), 1);
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let change = planner.changes(engines, Millis(1_000))[0];
+    planner.record_own_order(change, Millis(1_000));
+    assert!(planner.changes(engines, Millis(15_000)).is_empty());
+    assert_eq!(planner.changes(engines, Millis(22_000)).len(), 1);
 }
 
 struct Uneven {
@@ -109,9 +109,9 @@
     let mut pool = Pool::new(domain(0), SmallRng::seed_from_u64(1));
     pool.replace(engines, false, Millis(0));
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Planner::default();
-    plan.changes(engines, Millis(0));
-    let changes = plan.changes(engines, Millis(1_000));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let changes = planner.changes(engines, Millis(1_000));
     let after = |place: usize| {
         let prefills = |key, stage| {
             let change = changes.iter().find(|change| change.key == key);
@@ -144,10 +144,10 @@
 fn missing_prefill_engines_are_replaced_after_a_while(#[case] case: Shortage) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Planner::default();
-    plan.changes(engines, Millis(0));
-    assert!(plan.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
-    let changes = plan.changes(engines, Millis(case.after));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    assert!(planner.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
+    let changes = planner.changes(engines, Millis(case.after));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
     assert!(changes.iter().all(|change| change.stage == Stage::Prefill), "{}", case.name);
 }
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -17,11 +17,11 @@
 const SUSPECT_MILLIS: u64 = 1_000;
 const START: Millis = Millis(5_000);
 
-fn engine(place: usize, role: Role) -> Runner {
-    let name = format!("engine-{place}");
+fn engine(index: usize, role: Role) -> Runner {
+    let name = format!("engine-{index}");
     Runner {
         id: Id::of(&name),
-        vm: format!("vm-{place}"),
+        vm: format!("vm-{index}"),
         domain: "Aarau".into(),
         address: ([127, 0, 0, 1], 9_000).into(),
         role,
@@ -35,8 +35,8 @@
 
 fn node(number: u64) -> Node {
     let mut table = Table::default();
-    for place in 0..ENGINES {
-        table.insert(engine(place, Role::Prefill));
+    for index in 0..ENGINES {
+        table.insert(engine(index, Role::Prefill));
     }
     table.insert(engine(ENGINES, Role::Service));
     let mut node = Node::new(Options {
