--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -1,8 +1,9 @@
-//! The way of one keyed request: to the owner of its key, past those that owned it before.
+//! Routing of one keyed request to the owner of its key.
 //!
-//! A key may be run only by a node that every earlier owner has given the key up to. The
-//! flow says what to do next; the node does it and tells the flow what came of it. A minted key
-//! names a request that came without one and is not remembered: sent back, it may have run.
+//! A node may run a request only after every earlier owner of the key has released the key to it.
+//! [`Flow`] is a state machine without I/O: it returns the next step, and the caller executes the
+//! step and reports its result. A minted key was assigned by a node to a request that came without a
+//! key, and is not recorded: a request that brings one back may have run.
 
 use crate::claims::Doubt;
 use crate::ledger::Begin;
@@ -13,25 +14,25 @@
 use crosslane_state::time::Millis;
 use std::sync::Arc;
 
-/// Owners that a request may be forwarded to, one after another.
-pub const MOST_FORWARDS: usize = 4;
+/// Most owners to which a request is forwarded, one after another.
+pub const MAX_FORWARDS: usize = 4;
 
-/// What to do next.
+/// Next step of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask a node to give the key up.
-    Inquire(Incarnation),
+    /// Ask a node to release the key.
+    RequestRelease(Incarnation),
     /// Forward the request to a node.
     Forward(Incarnation),
-    /// Tell the node that forwarded it whom to try instead.
-    Name(Incarnation),
+    /// Answer the node that forwarded the request with the owner to try instead.
+    Redirect(Incarnation),
     /// Run it here.
     Run,
-    /// Join the run here.
+    /// Wait for the run in progress here.
     Join,
-    /// Give the recorded answer.
+    /// Return the recorded answer.
     Replay(Arc<Answer>),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
@@ -40,71 +41,71 @@
 pub enum Refusal {
     /// The key was used for another request.
     Mismatch,
-    /// No room to remember the key.
+    /// There is no room to record the key.
     Full,
     /// It may have run.
     Unknown,
-    /// A departed node may have run it; this is being found out.
+    /// A departed node may have run it, and that node's claims are not all collected yet.
     InDoubt,
-    /// A node that may know the key can't be reached.
+    /// A node that may know the key is unreachable.
     Unreachable,
 }
 
-/// What came of an inquiry.
+/// Result of asking a node to release a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inquired {
-    /// The node knows nothing under the key and has given it up.
-    Free,
+pub enum ReleaseReply {
+    /// The node does not know the key and has released it.
+    Released,
     /// The node knows the key.
-    Known,
+    Held,
     /// The node did not answer.
-    Silent,
+    NoReply,
 }
 
-/// What came of a forward, unless it was answered.
+/// Result of a forward that was not answered with a reply to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Forwarded {
-    /// The node named another.
-    Named(Incarnation),
-    /// The node did not take it.
-    Unreached,
-    /// The node may have taken it and is gone.
+pub enum ForwardOutcome {
+    /// The node named another owner.
+    Redirected(Incarnation),
+    /// The node did not receive the request.
+    NotDelivered,
+    /// The node may have received the request, but the reply was lost.
     Lost,
 }
 
-/// A keyed request on its way.
+/// State machine of one keyed request.
 #[derive(Clone, Debug)]
 pub struct Flow {
     key: Key,
     fingerprint: u64,
     repeatable: bool,
-    inner: bool,
-    passed: Vec<Incarnation>,
-    asking: Vec<Incarnation>,
-    given_up: Vec<Incarnation>,
-    since: u64,
-    forwards: Vec<Incarnation>,
+    forwarded_here: bool,
+    released_by: Vec<Incarnation>,
+    to_ask: Vec<Incarnation>,
+    released: Vec<Incarnation>,
+    release_mark: u64,
+    redirected_by: Vec<Incarnation>,
 }
 
 impl Flow {
-    /// A request that came from a caller.
+    /// A request received from a caller.
     pub fn new(key: Key, fingerprint: u64, repeatable: bool) -> Self {
         Self {
             key,
             fingerprint,
             repeatable,
-            inner: false,
-            passed: Vec::new(),
-            asking: Vec::new(),
-            given_up: Vec::new(),
-            since: 0,
-            forwards: Vec::new(),
+            forwarded_here: false,
+            released_by: Vec::new(),
+            to_ask: Vec::new(),
+            released: Vec::new(),
+            release_mark: 0,
+            redirected_by: Vec::new(),
         }
     }
 
-    /// The same request as forwarded by another node, past some that gave its key up.
-    pub fn forwarded_past(self, passed: Vec<Incarnation>) -> Self {
-        Self { inner: true, passed, ..self }
+    /// The same request, but received from another node, with the nodes that have released its key.
+    pub fn into_forwarded(self, released_by: Vec<Incarnation>) -> Self {
+        Self { forwarded_here: true, released_by, ..self }
     }
 
     /// The key.
@@ -112,98 +113,100 @@
         &self.key
     }
 
-    /// Nodes that named another when the request was forwarded to them.
-    pub fn forwards(&self) -> &[Incarnation] {
-        &self.forwards
+    /// Nodes that named another owner when the request was forwarded to them.
+    pub fn redirected_by(&self) -> &[Incarnation] {
+        &self.redirected_by
     }
 
-    /// Sets out.
+    /// Returns the first step.
     pub fn start(&mut self, node: &mut Node, now: Millis) -> Step {
-        if node.ledger.knows(&self.key) {
+        if node.ledger.contains(&self.key) {
             return self.begin(node, now);
         }
         if self.key.generated_by().is_some() {
             return Step::Refuse(Refusal::Unknown);
         }
-        self.since = node.ledger.releases();
-        self.given_up.clear();
-        match node.route(&self.key, &self.passed, now) {
-            Route::Here { mut ask } => {
-                ask.reverse();
-                self.asking = ask;
-                self.inquire(node, now)
+        self.release_mark = node.ledger.release_count();
+        self.released.clear();
+        match node.route(&self.key, &self.released_by, now) {
+            Route::Local { release_from: mut to_ask } => {
+                to_ask.reverse();
+                self.to_ask = to_ask;
+                self.ask_next(node, now)
             }
-            Route::There(owner) => {
-                if self.inner {
+            Route::Remote(owner) => {
+                if self.forwarded_here {
                     node.ledger.release(&self.key, owner, now);
                 }
-                self.send(owner)
+                self.hand_to(owner)
             }
-            Route::Nowhere => Step::Refuse(Refusal::Unreachable),
+            Route::NoOwner => Step::Refuse(Refusal::Unreachable),
         }
     }
 
-    /// Goes on after an inquiry.
-    pub fn inquired(
+    /// Returns the next step after a node was asked to release the key.
+    pub fn on_release_reply(
         &mut self,
         by: Incarnation,
-        inquired: Inquired,
+        reply: ReleaseReply,
         node: &mut Node,
         now: Millis,
     ) -> Step {
-        match inquired {
-            Inquired::Known => return self.send(by),
-            Inquired::Silent if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
-            Inquired::Silent | Inquired::Free => self.given_up.push(by),
+        match reply {
+            ReleaseReply::Held => return self.hand_to(by),
+            ReleaseReply::NoReply if !self.repeatable => return Step::Refuse(Refusal::Unreachable),
+            ReleaseReply::NoReply | ReleaseReply::Released => self.released.push(by),
         }
-        self.inquire(node, now)
+        self.ask_next(node, now)
     }
 
-    /// Goes on after a forward that was not answered.
-    pub fn forwarded(
+    /// Returns the next step after a forward that was not answered.
+    pub fn on_forward_outcome(
         &mut self,
         to: Incarnation,
-        forwarded: Forwarded,
+        outcome: ForwardOutcome,
         node: &mut Node,
         now: Millis,
     ) -> Step {
-        match forwarded {
-            Forwarded::Named(_) if self.forwards.len() >= MOST_FORWARDS => {
+        match outcome {
+            ForwardOutcome::Redirected(_) if self.redirected_by.len() >= MAX_FORWARDS => {
                 Step::Refuse(Refusal::Unreachable)
             }
-            Forwarded::Named(owner) if owner == node.options().me => {
-                self.forwards.push(to);
-                self.passed.push(to);
+            ForwardOutcome::Redirected(owner) if owner == node.options().incarnation => {
+                self.redirected_by.push(to);
+                self.released_by.push(to);
                 self.start(node, now)
             }
-            Forwarded::Named(owner) => {
-                self.forwards.push(to);
+            ForwardOutcome::Redirected(owner) => {
+                self.redirected_by.push(to);
                 Step::Forward(owner)
             }
-            Forwarded::Unreached | Forwarded::Lost if self.repeatable => {
-                node.ledger.reclaim(&self.key, u64::MAX, |it| it == to);
+            ForwardOutcome::NotDelivered | ForwardOutcome::Lost if self.repeatable => {
+                node.ledger.reclaim(&self.key, u64::MAX, |holder| holder == to);
                 self.begin(node, now)
             }
-            Forwarded::Unreached | Forwarded::Lost => Step::Refuse(Refusal::Unreachable),
+            ForwardOutcome::NotDelivered | ForwardOutcome::Lost => {
+                Step::Refuse(Refusal::Unreachable)
+            }
         }
     }
 
-    fn inquire(&mut self, node: &mut Node, now: Millis) -> Step {
-        if let Some(next) = self.asking.pop() {
-            return Step::Inquire(next);
+    fn ask_next(&mut self, node: &mut Node, now: Millis) -> Step {
+        if let Some(next) = self.to_ask.pop() {
+            return Step::RequestRelease(next);
         }
-        let given_up = &self.given_up;
-        node.ledger.reclaim(&self.key, self.since, |it| given_up.contains(&it));
+        let released = &self.released;
+        node.ledger.reclaim(&self.key, self.release_mark, |holder| released.contains(&holder));
         let roster = &node.state.roster;
-        node.ledger.reclaim(&self.key, u64::MAX, |it| roster.get(it).is_none());
+        node.ledger.reclaim(&self.key, u64::MAX, |holder| roster.get(holder).is_none());
         self.begin(node, now)
     }
 
     fn begin(&mut self, node: &mut Node, now: Millis) -> Step {
-        if !self.repeatable && !node.ledger.knows(&self.key) {
+        if !self.repeatable && !node.ledger.contains(&self.key) {
             match node.doubt(&self.key) {
                 Some(Doubt::Claimed) => return Step::Refuse(Refusal::Unknown),
-                Some(Doubt::Unsettled) => return Step::Refuse(Refusal::InDoubt),
+                Some(Doubt::ClaimsIncomplete) => return Step::Refuse(Refusal::InDoubt),
                 None => {}
             }
         }
@@ -211,14 +214,14 @@
             Begin::Run => Step::Run,
             Begin::Join => Step::Join,
             Begin::Replay(answer) => Step::Replay(answer),
-            Begin::Moved(owner) => self.send(owner),
+            Begin::Moved(owner) => self.hand_to(owner),
             Begin::Mismatch => Step::Refuse(Refusal::Mismatch),
             Begin::Full => Step::Refuse(Refusal::Full),
             Begin::Unknown => Step::Refuse(Refusal::Unknown),
         }
     }
 
-    fn send(&self, owner: Incarnation) -> Step {
-        if self.inner { Step::Name(owner) } else { Step::Forward(owner) }
+    fn hand_to(&self, owner: Incarnation) -> Step {
+        if self.forwarded_here { Step::Redirect(owner) } else { Step::Forward(owner) }
     }
 }
--- a/crates/coordination/tests/stages.rs
+++ b/crates/coordination/tests/stages.rs
@@ -1,7 +1,7 @@
-//! Stages: shares of engines, only on a settled list, one order an engine.
+//! Stage planning: split of the engines, only on a settled list, and one order at a time per engine.
 
 use crosslane_coordination::pool::Pool;
-use crosslane_coordination::stages::Plan;
+use crosslane_coordination::stages::Planner;
 use crosslane_state::endpoint::{Endpoint, Stage};
 use crosslane_state::time::Millis;
 use rand::SeedableRng;
@@ -31,7 +31,7 @@
     pool
 }
 
-struct Case {
+struct Split {
     name: &'static str,
     prefill: usize,
     decode: usize,
@@ -40,54 +40,55 @@
 }
 
 #[rstest]
-#[case(Case { name: "as wanted", prefill: 3, decode: 6, to: None, orders: 0 })]
-#[case(Case { name: "one too many", prefill: 4, decode: 5, to: Some(Stage::Decode), orders: 1 })]
-#[case(Case { name: "two too many", prefill: 7, decode: 11, to: Some(Stage::Decode), orders: 2 })]
-#[case(Case { name: "two of eight suffice", prefill: 2, decode: 6, to: None, orders: 0 })]
-#[case(Case { name: "one of eight is kept full", prefill: 1, decode: 7, to: Some(Stage::Prefill), orders: 1 })]
-#[case(Case { name: "a single engine", prefill: 0, decode: 1, to: None, orders: 0 })]
-fn shares(#[case] case: Case) {
+#[case(Split { name: "at the target", prefill: 3, decode: 6, to: None, orders: 0 })]
+#[case(Split { name: "one too many", prefill: 4, decode: 5, to: Some(Stage::Decode), orders: 1 })]
+#[case(Split { name: "two too many", prefill: 7, decode: 11, to: Some(Stage::Decode), orders: 2 })]
+#[case(Split { name: "two of eight are enough", prefill: 2, decode: 6, to: None, orders: 0 })]
+#[case(Split { name: "one of eight would be overloaded", prefill: 1, decode: 7, to: Some(Stage::Prefill), orders: 1 })]
+#[case(Split { name: "a single engine", prefill: 0, decode: 1, to: None, orders: 0 })]
+fn split(#[case] case: Split) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
-    plan.changes(engines, Millis(0));
-    let changes = plan.changes(engines, Millis(1_000));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let changes = planner.changes(engines, Millis(1_000));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
-    assert!(changes.iter().all(|it| Some(it.stage) == case.to), "{}", case.name);
+    assert!(changes.iter().all(|change| Some(change.stage) == case.to), "{}", case.name);
 }
 
 #[rstest]
-fn a_list_that_still_grows_is_not_acted_on() {
+fn nothing_is_ordered_while_the_list_changes() {
     let mut pool = pool(5, 4);
-    let mut plan = Plan::default();
+    let mut planner = Planner::default();
     for round in 1..5_usize {
-        assert!(plan.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
+        assert!(planner.changes(&pool.engines()[SERVICE], Millis(500 * round as u64)).is_empty());
         let mut engines: Vec<Endpoint> =
-            pool.engines()[SERVICE].iter().map(|(_, it)| (*it).clone()).collect();
+            pool.engines()[SERVICE].iter().map(|(_, endpoint)| (*endpoint).clone()).collect();
         engines.push(engine(10 + round, Stage::Decode));
         pool.replace(engines, false, Millis(0));
     }
     let settled = Millis(10_000);
-    plan.changes(&pool.engines()[SERVICE], settled);
-    assert_eq!(plan.changes(&pool.engines()[SERVICE], settled + 1_000).len(), 1);
+    planner.changes(&pool.engines()[SERVICE], settled);
+    assert_eq!(planner.changes(&pool.engines()[SERVICE], settled + 1_000).len(), 1);
 }
 
 #[rstest]
-fn an_engine_is_not_ordered_again_while_its_order_may_be_carried_out() {
+fn an_engine_gets_no_second_order_while_the_first_may_be_executed() {
     let pool = pool(4, 5);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
-    plan.changes(engines, Millis(0));
-    let change = plan.changes(engines, Millis(1_000))[0];
-    plan.sent(change, Millis(1_000));
-    assert!(plan.changes(engines, Millis(15_000)).is_empty());
-    assert_eq!(plan.changes(engines, Millis(22_000)).len(), 1);
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let change = planner.changes(engines, Millis(1_000))[0];
+    planner.record_own_order(change, Millis(1_000));
+    assert!(planner.changes(engines, Millis(15_000)).is_empty());
+    assert_eq!(planner.changes(engines, Millis(22_000)).len(), 1);
 }
 
 struct Uneven {
     name: &'static str,
-    /// Engines that prefill and that decode, by failure domain.
+    /// Prefill and decode engines of each failure domain.
     before: [(usize, usize); 3],
+    /// Expected prefill engines after the changes, largest first.
     prefill: [usize; 3],
 }
 
@@ -95,7 +96,7 @@
 #[case(Uneven { name: "even", before: [(6, 8), (6, 8), (6, 8)], prefill: [4, 4, 3] })]
 #[case(Uneven { name: "uneven", before: [(9, 5), (6, 8), (3, 11)], prefill: [4, 4, 3] })]
 #[case(Uneven { name: "too few", before: [(3, 11), (1, 13), (0, 14)], prefill: [3, 2, 2] })]
-fn prefilling_engines_are_kept_even_over_failure_domains(#[case] case: Uneven) {
+fn prefill_engines_are_balanced_over_failure_domains(#[case] case: Uneven) {
     let domain = |place: usize| format!("domain-{place}");
     let mut engines = Vec::new();
     for (place, (prefill, decode)) in case.before.into_iter().enumerate() {
@@ -108,44 +109,45 @@
     let mut pool = Pool::new(domain(0), SmallRng::seed_from_u64(1));
     pool.replace(engines, false, Millis(0));
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
-    plan.changes(engines, Millis(0));
-    let changes = plan.changes(engines, Millis(1_000));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    let changes = planner.changes(engines, Millis(1_000));
     let after = |place: usize| {
         let prefills = |key, stage| {
-            let change = changes.iter().find(|it| it.key == key);
-            change.map_or(stage, |it| it.stage) == Stage::Prefill
+            let change = changes.iter().find(|change| change.key == key);
+            change.map_or(stage, |found| found.stage) == Stage::Prefill
         };
-        let there = engines.iter().filter(|(_, it)| it.domain == domain(place));
-        there.filter(|(key, it)| prefills(*key, it.stage)).count()
+        let in_domain = engines.iter().filter(|(_, endpoint)| endpoint.domain == domain(place));
+        in_domain.filter(|(key, endpoint)| prefills(*key, endpoint.stage)).count()
     };
     let mut counts = [after(0), after(1), after(2)];
-    counts.sort_by(|one, other| other.cmp(one));
+    counts.sort_by(|a, b| b.cmp(a));
     assert_eq!(counts, case.prefill, "{}", case.name);
 }
 
-struct Missed {
+struct Shortage {
     name: &'static str,
     prefill: usize,
     decode: usize,
-    /// Time since the engine went, in milliseconds.
+    /// Time since the engine disappeared, in milliseconds.
     after: u64,
     orders: usize,
 }
 
-/// With two of eight engines prefilling, prompts waited 0.9 s in bursts while decode memory had room.
+/// With two prefill engines out of eight, prompts wait for 0.9 s in bursts while decode memory has
+/// room.
 #[rstest]
-#[case(Missed { name: "a crash passes", prefill: 2, decode: 6, after: 3_000, orders: 0 })]
-#[case(Missed { name: "gone for good", prefill: 2, decode: 6, after: 6_000, orders: 1 })]
-#[case(Missed { name: "as many as wanted", prefill: 3, decode: 5, after: 60_000, orders: 0 })]
-#[case(Missed { name: "several of many", prefill: 28, decode: 112, after: 6_000, orders: 4 })]
-fn prefilling_engines_that_are_missed_for_long_are_replaced(#[case] case: Missed) {
+#[case(Shortage { name: "missing for as long as a crash lasts", prefill: 2, decode: 6, after: 3_000, orders: 0 })]
+#[case(Shortage { name: "gone permanently", prefill: 2, decode: 6, after: 6_000, orders: 1 })]
+#[case(Shortage { name: "none missing", prefill: 3, decode: 5, after: 60_000, orders: 0 })]
+#[case(Shortage { name: "several missing in a large site", prefill: 28, decode: 112, after: 6_000, orders: 4 })]
+fn missing_prefill_engines_are_replaced_after_a_while(#[case] case: Shortage) {
     let pool = pool(case.prefill, case.decode);
     let engines = &pool.engines()[SERVICE];
-    let mut plan = Plan::default();
-    plan.changes(engines, Millis(0));
-    assert!(plan.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
-    let changes = plan.changes(engines, Millis(case.after));
+    let mut planner = Planner::default();
+    planner.changes(engines, Millis(0));
+    assert!(planner.changes(engines, Millis(1_000)).is_empty(), "{}", case.name);
+    let changes = planner.changes(engines, Millis(case.after));
     assert_eq!(changes.len(), case.orders, "{}", case.name);
-    assert!(changes.iter().all(|it| it.stage == Stage::Prefill), "{}", case.name);
+    assert!(changes.iter().all(|change| change.stage == Stage::Prefill), "{}", case.name);
 }
--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -73,7 +73,7 @@
 }
 
 async fn list(node: &Node, service: &str) -> Vec<Engine> {
-    let mut engines = node.pool().keepers(service);
+    let mut engines = node.pool().cache_candidates(service);
     // A list delays an engine's work, and engines that name a rate limit are overloaded.
     engines.retain(|(_, engine)| node.limits().rate(engine.tag()).is_none());
     let calls = engines.iter().map(|(_, engine)| {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -135,7 +135,7 @@
 impl Slot {
     /// Counts a request, with its KV cache tokens, at the chosen endpoint.
     pub fn acquire(node: &Arc<Node>, (key, load): (Key, f64), tokens: u32) -> Self {
-        node.pool().enter(key, tokens);
+        node.pool().add_request(key, tokens);
         node.usage_changed.notify_one();
         Self { node: node.clone(), key, tokens, load, permit: None }
     }
@@ -155,13 +155,13 @@
 
     /// Records how the request ended at the endpoint.
     pub fn record_outcome(&self, outcome: Outcome) {
-        self.node.pool().note(self.key, outcome, self.node.now());
+        self.node.pool().record_outcome(self.key, outcome, self.node.now());
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.node.pool().leave(self.key, self.tokens);
+        self.node.pool().remove_request(self.key, self.tokens);
         self.node.usage_changed.notify_one();
     }
 }
@@ -288,7 +288,7 @@
     };
     let head = Head::read(&parts, &call.metadata.id);
     if let Some(load) = head.load {
-        node.pool().load(slot.key, load, node.now());
+        node.pool().record_load(slot.key, load, node.now());
     }
     // A 421 comes from another incarnation at the same address, which names its own rate limit.
     if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -80,7 +80,7 @@
         quota::start_bucket(node, Subject::Endpoint(endpoint));
     }
     let mut pool = node.pool();
-    pool.let_in(endpoint, change.rate.is_none(), node.now());
+    pool.end_throttle(endpoint, change.rate.is_none(), node.now());
     let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|listed| listed.id.as_str());
     let to = to.unwrap_or_default();
     let (per_second, before) = (rate_text(change.rate), rate_text(change.before));
@@ -107,7 +107,7 @@
         Ok(grant) => Ok(grant),
         Err(Exceeded { wait_ms, source }) => {
             let mut pool = node.pool();
-            pool.hold_back(key, node.now() + wait_ms);
+            pool.throttle(key, node.now() + wait_ms);
             let to = pool.get(key).map(|listed| listed.id.as_str()).unwrap_or_default();
             info!(request, to, wait_ms, source:%; "{}", event::HELD_BACK);
             Err(Failure::RateLimited)
@@ -117,7 +117,7 @@
 
 /// Refusal if all endpoints that could serve a request are at their limits.
 pub fn refusal(node: &Node, service: &str, stage: Stage) -> Option<Refusal> {
-    let wait = node.pool().held_for(service, stage, node.now())?;
+    let wait = node.pool().throttled_for_ms(service, stage, node.now())?;
     Some(Refusal::retry_after(Reason::RateLimited, Duration::from_millis(wait)))
 }
 
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -10,7 +10,7 @@
 use crate::mirror::{Change, Mirror, Offsets, Topic};
 use crate::quarantine::Checks;
 use crate::quota::Limiter;
-use crosslane_coordination::admission::Patience;
+use crosslane_coordination::admission::Timeouts;
 use crosslane_coordination::allowance::{Allowance, Budget};
 use crosslane_coordination::connections;
 use crosslane_coordination::durations::{Durations, Mark};
@@ -127,7 +127,7 @@
     /// Token bucket for the bytes of transfers to other nodes.
     peer_bandwidth: Mutex<Pace>,
     /// Deadlines that callers give, by route.
-    patience: Mutex<HashMap<String, Patience>>,
+    patience: Mutex<HashMap<String, Timeouts>>,
     /// Durations of recent requests, by service.
     durations: Mutex<HashMap<String, Durations>>,
     quarantine: Mutex<Quarantine>,
@@ -318,7 +318,7 @@
         let table = self.table();
         let cap = table.as_ref().and_then(|table| table.services.get(service)?.max_connections);
         let (_, nodes) = lock(&self.members).live_and_serving(self.now());
-        cap.map_or(u32::MAX, |cap| connections::part(cap, nodes))
+        cap.map_or(u32::MAX, |cap| connections::share(cap, nodes))
     }
 
     /// Adds a request to the retry budget of a service.
@@ -337,7 +337,7 @@
     pub fn earlier_attempts_ms(&self, route: &str, patience: Duration) -> u64 {
         let patience = patience.as_millis() as u64;
         let mut routes = lock(&self.patience);
-        routes.entry(route.to_owned()).or_default().spent(patience, self.now())
+        routes.entry(route.to_owned()).or_default().spent_ms(patience, self.now())
     }
 
     /// Records that the store answered; `recovered` if the call before failed.
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -4,7 +4,7 @@
 use crate::event;
 use crate::node::{Node, lock};
 use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
-use crosslane_coordination::stages::{Change, Plan};
+use crosslane_coordination::stages::{Change, Planner};
 use crosslane_platform::engine::{self, Order};
 use crosslane_platform::store::{Client, Error};
 use crosslane_state::endpoint::{Stage, Tag};
@@ -31,7 +31,7 @@
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Plans by service.
-type Plans = HashMap<String, Plan>;
+type Plans = HashMap<String, Planner>;
 
 /// Gives orders while this node is the leader, forever.
 pub async fn run(node: Arc<Node>) {
@@ -68,7 +68,7 @@
             info!(fence, orders = changes.len(); "{}", event::LEASE);
             for (service, change) in changes {
                 if node.now().since(began) < ORDER_WINDOW {
-                    plans.entry(service).or_default().sent(change, node.now());
+                    plans.entry(service).or_default().record_own_order(change, node.now());
                     tokio::spawn(send_order(node.clone(), change, fence));
                 }
             }
@@ -111,7 +111,7 @@
             let tag = engine.tag();
             let order = record.orders.iter().find(|order| order.0 == tag);
             if let Some((_, stage)) = order.filter(|order| order.1 != engine.stage) {
-                plan.told(Change { key, stage: *stage }, now);
+                plan.record_peer_order(Change { key, stage: *stage }, now);
             }
         }
     }
@@ -176,7 +176,7 @@
     let stage = format!("{:?}", change.stage);
     let outcome = answer.map(|answer| engine::ordered(answer.status));
     if matches!(outcome, Ok(Order::Taken)) {
-        node.pool().ordered(change.key, change.stage, node.now());
+        node.pool().record_stage_order(change.key, change.stage, node.now());
         node.heartbeat_due.notify_one();
     }
     match outcome {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -211,7 +211,7 @@
     let limits_digest = node.limits().digest();
     let (usage, stage_changes) = {
         let pool = node.pool();
-        (pool.usage(now), pool.changing(now))
+        (pool.local_usage(now), pool.pending_stage_orders(now))
     };
     Heartbeat {
         vm: node.settings.vm.clone(),
@@ -263,7 +263,7 @@
         node.usage_changed.notified().await;
         sleep(UPDATE_GATHER_TIME).await;
         let addresses = lock(&node.members).addresses(Scope::Near, node.now());
-        let usage = node.pool().updates(node.now());
+        let usage = node.pool().take_usage_delta(node.now());
         if !usage.is_empty() {
             send(&node, &socket, &Message::Update { vm: node.tag(), usage }, &addresses).await;
         }
@@ -412,7 +412,7 @@
                     send(&node, &socket, &Message::LimitsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Update { vm, usage }) => node.pool().update(vm, &usage),
+            Ok(Message::Update { vm, usage }) => node.pool().apply_usage_delta(vm, &usage),
             Ok(Message::Offsets { offsets }) => {
                 lock(&node.members).record_offsets(from.ip(), offsets);
                 node.record_peer_offsets(offsets);
@@ -480,8 +480,8 @@
     }
     {
         let mut pool = node.pool();
-        pool.hear(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.expires_at);
-        pool.hear_changing(&heartbeat.stage_changes, receipt.expires_at);
+        pool.apply_usage_report(Tag::of(&heartbeat.vm), heartbeat.usage, receipt.expires_at);
+        pool.merge_stage_orders(&heartbeat.stage_changes, receipt.expires_at);
     }
     if receipt.newcomer {
         send(node, socket, &Message::Heartbeat(current_heartbeat(node)), &[from]).await;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -121,7 +121,14 @@
         let (service, except) = (self.service, self.tried.as_slice());
         let connections = self.node.connection_share(service);
         let stage = Stage::Plain;
-        let query = Query { service, stage, capacity: 0, connections, room: None, except };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: 0,
+            max_connections: connections,
+            room: None,
+            exclude: except,
+        };
         let place = self.node.pool().choose(query, self.node.now())?;
         if retries && !self.node.take_retry(service) {
             self.node.meter.count_retry(Retry::DeniedBudget);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -11,7 +11,7 @@
 use crate::sse::Splitter;
 use crate::stream::{Failover, Generation};
 use bytes::{Bytes, BytesMut};
-use crosslane_coordination::admission::FULL;
+use crosslane_coordination::admission::FULL_UTILIZATION;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::ask::Purpose;
 use crosslane_platform::engine::{self, Move};
@@ -165,7 +165,7 @@
         let Some(key) = self.answer.as_ref().map(Answer::key) else {
             return false;
         };
-        if self.moves_left == 0 || self.generation.node.pool().usable(key) {
+        if self.moves_left == 0 || self.generation.node.pool().is_usable(key) {
             return false;
         }
         let now = Instant::now();
@@ -178,7 +178,7 @@
         self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
         let (source, key) =
             self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
-        let place = self.generation.choose_decode(FULL, &[key])?;
+        let place = self.generation.choose_decode(FULL_UTILIZATION, &[key])?;
         let target = self.generation.node.pool().get(place.0).cloned()?;
         let mut slot =
             Slot::acquire(&self.generation.node, place, self.generation.expected_tokens());
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -10,7 +10,7 @@
 use crate::refusal::{Reason, Refusal};
 use crate::reservation::Reservation;
 use crate::stream::{Generation, retry_later};
-use crosslane_coordination::admission::Standing;
+use crosslane_coordination::admission::Tier;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::engine;
 use crosslane_state::endpoint::Key;
@@ -88,7 +88,7 @@
         tried.extend(except);
         let excluded = tried.len();
         while tried.len() < excluded + MAX_ENGINES_PER_ROUND {
-            let Some(place) = self.choose_decode(self.timeliness.full(), &tried) else {
+            let Some(place) = self.choose_decode(self.timeliness.max_utilization(), &tried) else {
                 return Err(if tried.len() == excluded { "memory" } else { "reservations" });
             };
             match self.reserve_on(place, tokens).await {
@@ -103,7 +103,7 @@
         let tokens = self.expected_tokens();
         let occupancy = self.node.pool().occupancy(&self.service, self.engine.kv_capacity_tokens);
         let request = self.call.metadata.id.as_str();
-        let late = self.timeliness != Standing::OnTime;
+        let late = self.timeliness != Tier::OnTime;
         let outcome = "no_room";
         info!(request, late, tokens, rounds, bound, occupancy, outcome; "{}", event::RESERVE);
     }
--- a/crates/gateway/src/stall.rs
+++ b/crates/gateway/src/stall.rs
@@ -55,10 +55,10 @@
 /// Counts and logs that an endpoint has sent nothing for an attempt since a time.
 fn record_stall(node: &Node, call: &Call, at: Key, since: Instant) {
     let mut pool = node.pool();
-    pool.note(at, Outcome::Failed, node.now());
+    pool.record_outcome(at, Outcome::Failed, node.now());
     node.meter.stalls.inc();
     let to = pool.get(at).map(|endpoint| endpoint.id.as_str()).unwrap_or_default();
-    let (request, listed) = (call.metadata.id.as_str(), pool.usable(at));
+    let (request, listed) = (call.metadata.id.as_str(), pool.is_usable(at));
     let silent_ms = since.elapsed().as_millis() as u64;
     let left_ms = call.remaining().as_millis() as u64;
     info!(request, to, silent_ms, listed, left_ms; "{}", event::SILENT);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,7 +15,7 @@
 use crate::reservation::{Handle, Reservation};
 use crate::shutdown;
 use crate::stall::{self, Watch};
-use crosslane_coordination::admission::{self, Caller, Standing};
+use crosslane_coordination::admission::{self, Caller, Tier};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
 use crosslane_coordination::reader::{Kept, Reader};
@@ -66,7 +66,7 @@
     /// What admission control knows of the caller.
     pub caller: Caller,
     /// Whether the response can still be on time.
-    pub timeliness: Standing,
+    pub timeliness: Tier,
     /// Attempts that reached an endpoint.
     pub attempts: u32,
     /// Prefill engine that prefilled the prompt and may still cache it.
@@ -87,15 +87,15 @@
     /// Creates a streaming request for a service's engines.
     pub fn new(node: Arc<Node>, route: Route, service: String, engine: Engine, call: Call) -> Self {
         let caller = Caller {
-            target: route.target_latency_ms,
-            silence: route.caller_idle_timeout_ms(),
-            spent: call
+            target_ms: route.target_latency_ms,
+            max_silence_ms: route.caller_idle_timeout_ms(),
+            spent_ms: call
                 .metadata
                 .patience
                 .map_or(0, |patience| node.earlier_attempts_ms(&route.name, patience)),
             resumes: call.metadata.last_event.is_some(),
         };
-        let timeliness = Standing::from(&caller);
+        let timeliness = Tier::from(&caller);
         let (attempts, prefilled_at, failover) = (0, None, None);
         Self {
             node,
@@ -113,7 +113,7 @@
 
     /// Runs the request at engines and returns the event stream.
     pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
-        let max_wait = Duration::from_millis(self.timeliness.wait(&self.caller));
+        let max_wait = Duration::from_millis(self.timeliness.max_wait_ms(&self.caller));
         let until = self.call.deadline.instant().min(self.call.arrived + max_wait);
         let hits = self.cache_hits().await;
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
@@ -124,7 +124,7 @@
             Reader::Decoding => None,
             Reader::Prefilling => self.first_prefill(hits.prefill).await?,
         };
-        if !self.node.pool().usable(reservation.key) {
+        if !self.node.pool().is_usable(reservation.key) {
             // The engine announced its departure during the prefill.
             let until = self.call.deadline.instant().min(Instant::now() + max_wait);
             reservation = self.reserve(until, None).await?;
@@ -165,7 +165,7 @@
     /// day on eleven nodes, each at 47 engines, without a hit).
     async fn cache_hits(&self) -> Hits {
         match &self.call.metadata.part {
-            Some(part) if self.timeliness == Standing::Resumed => {
+            Some(part) if self.timeliness == Tier::Resumed => {
                 cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
             _ => Hits::default(),
@@ -191,7 +191,7 @@
     /// Chooses which kind of engine prefills the prompt.
     fn choose_reader(&self, kept: Kept) -> Reader {
         let queue = self.choose_prefill().map(|(_, load)| load);
-        let engines = self.node.pool().prefilling(&self.service);
+        let engines = self.node.pool().prefill_engine_count(&self.service);
         Reader::choose(kept, queue, engines)
     }
 
@@ -200,18 +200,32 @@
         let (service, stage) = (self.service.as_str(), Stage::Prefill);
         let (capacity, connections) =
             (PREFILL_CAPACITY_TOKENS, self.node.connection_share(service));
-        let query = Query { service, stage, capacity, connections, room: None, except: &[] };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: capacity,
+            max_connections: connections,
+            room: None,
+            exclude: &[],
+        };
         self.node.pool().choose(query, self.node.now())
     }
 
     /// Best decode engine with room for the request and a load, as a share of its capacity, not above `below`; with
     /// its load.
     pub fn choose_decode(&self, below: f64, except: &[Key]) -> Option<(Key, f64)> {
-        let room = Some(Room { tokens: self.expected_tokens(), below });
+        let room = Some(Room { tokens: self.expected_tokens(), max_utilization: below });
         let (service, capacity) = (self.service.as_str(), self.engine.kv_capacity_tokens);
         let connections = self.node.connection_share(service);
         let stage = Stage::Decode;
-        let query = Query { service, stage, capacity, connections, room, except };
+        let query = Query {
+            service,
+            stage,
+            capacity_tokens: capacity,
+            max_connections: connections,
+            room,
+            exclude: except,
+        };
         self.node.pool().choose(query, self.node.now())
     }
 
@@ -328,7 +342,7 @@
 
     /// Latest time to wait for memory to resume a stream.
     fn resume_by(&self) -> Instant {
-        let max_wait = Duration::from_millis(admission::resume_wait(&self.caller));
+        let max_wait = Duration::from_millis(admission::resume_wait_ms(&self.caller));
         self.call.deadline.instant().min(Instant::now() + max_wait)
     }
 
@@ -380,7 +394,7 @@
     /// Fetches the prompt's KV cache from the engine that prefilled it, which usually still has it: a new prefill at the
     /// next engine takes 0.2 s and stalls its other streams. `None` if no engine may be asked.
     async fn refetch_prompt(&self) -> Result<Option<Handle>, Failure> {
-        let cached_at = self.prefilled_at.filter(|key| self.node.pool().usable(*key));
+        let cached_at = self.prefilled_at.filter(|key| self.node.pool().is_usable(*key));
         let Some(cached_at) = cached_at.filter(|_| self.node.take_retry(&self.service)) else {
             return Ok(None);
         };
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -177,7 +177,7 @@
             let lost = random.random_bool(LOSS_RATE);
             let update = node.update();
             if node.near && !lost {
-                pool.update(Tag::of(&node.name), &update);
+                pool.apply_usage_delta(Tag::of(&node.name), &update);
             }
             if now >= node.next_heartbeat {
                 node.next_heartbeat = now + interval.near;
@@ -186,7 +186,7 @@
                 if sent && !lost {
                     let heartbeat = node.heartbeat(interval);
                     let receipt = members.record_heartbeat(ip(index), &heartbeat, Millis(now));
-                    pool.hear(Tag::of(&node.name), heartbeat.usage, receipt.expires_at);
+                    pool.apply_usage_report(Tag::of(&node.name), heartbeat.usage, receipt.expires_at);
                 }
             }
         }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crosslane_coordination::fold;
 use crosslane_coordination::record::Leave;
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_state::answer::Answer;
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
@@ -54,7 +54,7 @@
     /// Takes the caller's heartbeat and returns the callee's.
     async fn heartbeat(heartbeat: Heartbeat) -> Heartbeat;
     /// Reserves a slot of a runner that the callee owns.
-    async fn reserve_slot(runner: runner::Id, ask: Ask) -> Grant;
+    async fn reserve_slot(runner: runner::Id, ask: Request) -> Decision;
     /// Frees a slot of a runner that the callee owns.
     async fn release_slot(runner: runner::Id, attempt: attempt::Id);
     /// For each of the callee's attempts, whether it is still in use.
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -4,7 +4,7 @@
 use crate::node::{Phase, Shared};
 use crate::peers::FRAME_BYTES;
 use crosslane_coordination::node::Node;
-use crosslane_coordination::slots::{Ask, Grant};
+use crosslane_coordination::slots::{Decision, Request};
 use crosslane_protocol::peer::{Heartbeat, IdempotencyRecord, Peer, Snapshot};
 use crosslane_state::attempt;
 use crosslane_state::incarnation::Incarnation;
@@ -51,7 +51,7 @@
         crate::pulse::beat(&self.shared).await
     }
 
-    async fn reserve_slot(self, _: Context, runner: runner::Id, ask: Ask) -> Grant {
+    async fn reserve_slot(self, _: Context, runner: runner::Id, ask: Request) -> Decision {
         self.shared.keeper.ask(runner, ask).await
     }
 
@@ -92,7 +92,7 @@
     async fn snapshot(self, _: Context) -> Snapshot {
         let known = |node: &mut Node, _| Snapshot {
             state: node.state.clone(),
-            unlogged_members: node.guests(),
+            unlogged_members: node.provisional_members(),
         };
         self.shared.keeper.visit(known).await
     }
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/sweep.rs
@@ -120,7 +120,7 @@
 async fn reconcile(shared: Arc<Shared>, runner: Runner) {
     let id = runner.id;
     let Some(held) = held(&shared, &runner).await else {
-        shared.keeper.visit(move |node, _| node.silent(id)).await;
+        shared.keeper.visit(move |node, _| node.mark_unresponsive(id)).await;
         return;
     };
     let plan = move |node: &mut Node, now| node.reconcile(id, &held, now);
@@ -128,7 +128,7 @@
         return;
     };
     let mut unwanted = plan.cancel;
-    for (origin, attempts) in plan.ask {
+    for (origin, attempts) in plan.confirm {
         unwanted.extend(disowned(&shared, origin, attempts).await);
     }
     unwanted.into_iter().for_each(|it| reclaim(&shared, &runner, it, Some(shared.me)));
