--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -307,7 +307,8 @@
                 && (domains.is_empty() || domains.contains(&runner.domain))
         };
         let is_fresh = |runner: &Runner| {
-            role == Role::Service || now.since(board.estimate(runner.id).reported_at) < LOAD_REPORT_TTL_MS
+            role == Role::Service
+                || now.since(board.estimate(runner.id).reported_at) < LOAD_REPORT_TTL_MS
         };
         let chosen = self
             .chooser
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -115,7 +115,8 @@
     let now = START + SUSPECT_MILLIS;
     node.detector.heard(Incarnation(1), now);
     node.detector.confirm(Incarnation(3), now);
-    let attempt_of = |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, retry_number: 0 };
+    let attempt_of =
+        |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, retry_number: 0 };
     let held = [attempt_of(0), attempt_of(1), attempt_of(2), attempt_of(3)];
     assert_eq!(
         node.orphans(&held, now),
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -186,7 +186,11 @@
                 if sent && !lost {
                     let heartbeat = node.heartbeat(interval);
                     let receipt = members.record_heartbeat(ip(index), &heartbeat, Millis(now));
-                    pool.apply_usage_report(Tag::of(&node.name), heartbeat.usage, receipt.expires_at);
+                    pool.apply_usage_report(
+                        Tag::of(&node.name),
+                        heartbeat.usage,
+                        receipt.expires_at,
+                    );
                 }
             }
         }
