--- a/crates/coordination/src/allowance.rs
+++ b/crates/coordination/src/allowance.rs
@@ -1,48 +1,49 @@
-//! This node's share of the retry budget that all nodes spend together.
+//! This node's share of the retry budget of all nodes.
 //!
 //! The budget is a ratio of a service's requests in a sliding window plus a fixed slack. A node
-//! sees only its own requests, so it spends the ratio of those and an even part of the slack,
-//! both with a margin for windows that do not line up between nodes.
+//! sees only its own requests, so it uses the ratio of those and an even part of the slack, both
+//! with a margin for windows that don't line up between nodes.
 
 use crosslane_state::time::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Share of the ratio that is spent; the rest is margin (a window's requests can fall by a
-/// quarter against the one before).
+/// Share of the ratio that is used. The rest is margin: the number of requests in a window can be a
+/// quarter lower than in the window before.
 const RATIO_MARGIN: f64 = 0.7;
 
-/// Share of the slack that is spent; the rest covers nodes that hold different member counts.
+/// Share of the slack that is used. The rest is margin for nodes that know different numbers of
+/// members.
 const SLACK_MARGIN: f64 = 0.6;
 
-/// The budget of all nodes for one service.
+/// Retry budget of all nodes together for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats allowed besides.
+    /// Retries allowed in addition.
     pub slack: f64,
-    /// Window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window: u64,
 }
 
-/// Times of one service's requests and repeats within the window.
+/// Times of one service's requests and retries within the window.
 #[derive(Debug, Default)]
 struct Tally {
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 impl Tally {
-    fn forget(&mut self, before: Millis) {
-        for times in [&mut self.requests, &mut self.repeats] {
-            while times.front().is_some_and(|it| *it < before) {
+    fn drop_before(&mut self, before: Millis) {
+        for times in [&mut self.requests, &mut self.retries] {
+            while times.front().is_some_and(|time| *time < before) {
                 times.pop_front();
             }
         }
     }
 }
 
-/// What this node may spend on repeats.
+/// Retries that this node may make, by service.
 #[derive(Debug)]
 pub struct Allowance {
     budget: Budget,
@@ -50,7 +51,7 @@
 }
 
 impl Allowance {
-    /// A node's part of a budget.
+    /// Creates this node's part of a budget.
     pub fn new(budget: Budget) -> Self {
         Self { budget, services: HashMap::new() }
     }
@@ -60,19 +61,19 @@
         let window = self.budget.window;
         let tally = self.tally(service);
         tally.requests.push_back(now);
-        tally.forget(now - window);
+        tally.drop_before(now - window);
     }
 
-    /// Takes one repeat among `members` nodes, if the budget still has it.
+    /// Takes one retry if this node's part of the budget, one of `members`, has room for it.
     pub fn take(&mut self, service: &str, members: usize, now: Millis) -> bool {
         let Budget { ratio, slack, window } = self.budget;
         let tally = self.tally(service);
-        tally.forget(now - window);
+        tally.drop_before(now - window);
         let earned = ratio * RATIO_MARGIN * tally.requests.len() as f64;
-        let part = slack * SLACK_MARGIN / members.max(1) as f64;
-        let granted = (tally.repeats.len() as f64) + 1.0 <= earned + part;
+        let slack_share = slack * SLACK_MARGIN / members.max(1) as f64;
+        let granted = (tally.retries.len() as f64) + 1.0 <= earned + slack_share;
         if granted {
-            tally.repeats.push_back(now);
+            tally.retries.push_back(now);
         }
         granted
     }
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -1,80 +1,81 @@
-//! Failure detection: silence makes a suspect, others' word makes it dead.
+//! Failure detector for nodes: a node without recent contact is suspected, and is dead once other
+//! nodes confirm that they have no contact either.
 
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::time::Millis;
 use std::collections::HashMap;
 
-/// What is believed of a node.
+/// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Belief {
-    /// Heard from lately, or not yet due.
+    /// There was contact recently, or none is due yet.
     Alive,
-    /// Silent; others are to be asked.
+    /// There was no contact for too long; other nodes are to be asked.
     Suspect,
-    /// Silent, and no other node hears it.
+    /// Other nodes have no contact either, or the node was never watched.
     Dead,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sight {
-    heard: Millis,
+struct Contact {
+    last: Millis,
     confirmed: Option<Millis>,
 }
 
-/// Beliefs about nodes.
+/// Detector of failed nodes.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    suspect_millis: u64,
-    sights: HashMap<Incarnation, Sight>,
+    suspect_after_ms: u64,
+    contacts: HashMap<Incarnation, Contact>,
 }
 
 impl Detector {
-    /// A detector that suspects after a silence in milliseconds.
-    pub fn new(suspect_millis: u64) -> Self {
-        Self { suspect_millis, sights: HashMap::new() }
+    /// Creates a detector that suspects a node after this time without contact, in milliseconds.
+    pub fn new(suspect_after_ms: u64) -> Self {
+        Self { suspect_after_ms, contacts: HashMap::new() }
     }
 
-    /// Starts watching a node as if it had just been heard.
+    /// Starts to watch a node, as if there had just been contact.
     pub fn watch(&mut self, node: Incarnation, now: Millis) {
-        self.sights.entry(node).or_insert(Sight { heard: now, confirmed: None });
+        self.contacts.entry(node).or_insert(Contact { last: now, confirmed: None });
     }
 
     /// Whether a node is watched.
     pub fn watches(&self, node: Incarnation) -> bool {
-        self.sights.contains_key(&node)
+        self.contacts.contains_key(&node)
     }
 
-    /// Counts a sign of life.
+    /// Records contact with a node.
     pub fn heard(&mut self, node: Incarnation, now: Millis) {
-        self.sights.insert(node, Sight { heard: now, confirmed: None });
+        self.contacts.insert(node, Contact { last: now, confirmed: None });
     }
 
-    /// Takes the word of others that a suspect is silent for them too.
+    /// Records that other nodes have no contact with a suspect either.
     pub fn confirm(&mut self, node: Incarnation, now: Millis) {
-        if let Some(sight) = self.sights.get_mut(&node) {
-            sight.confirmed = Some(now);
+        if let Some(contact) = self.contacts.get_mut(&node) {
+            contact.confirmed = Some(now);
         }
     }
 
-    /// Forgets a node.
+    /// Stops watching a node.
     pub fn forget(&mut self, node: Incarnation) {
-        self.sights.remove(&node);
+        self.contacts.remove(&node);
     }
 
-    /// Belief about a node; one never watched is dead.
+    /// State of a node; one that is not watched is dead.
     pub fn belief(&self, node: Incarnation, now: Millis) -> Belief {
-        match self.sights.get(&node) {
+        match self.contacts.get(&node) {
             None => Belief::Dead,
-            Some(sight) if now.since(sight.heard) < self.suspect_millis => Belief::Alive,
-            Some(Sight { confirmed: Some(_), .. }) => Belief::Dead,
+            Some(contact) if now.since(contact.last) < self.suspect_after_ms => Belief::Alive,
+            Some(Contact { confirmed: Some(_), .. }) => Belief::Dead,
             Some(_) => Belief::Suspect,
         }
     }
 
-    /// Nodes to ask others about.
+    /// Suspects, to ask other nodes about.
     pub fn suspects(&self, now: Millis) -> Vec<Incarnation> {
         let mut suspects: Vec<_> = self
-            .sights
+            .contacts
             .keys()
             .filter(|node| self.belief(**node, now) == Belief::Suspect)
             .copied()
@@ -83,10 +84,10 @@
         suspects
     }
 
-    /// Gives every node a fresh start, after this process itself was paused.
+    /// Resets all nodes to recent contact, after this process was paused.
     pub fn restart(&mut self, now: Millis) {
-        for sight in self.sights.values_mut() {
-            *sight = Sight { heard: now, confirmed: None };
+        for contact in self.contacts.values_mut() {
+            *contact = Contact { last: now, confirmed: None };
         }
     }
 }
--- a/crates/coordination/src/durations.rs
+++ b/crates/coordination/src/durations.rs
@@ -1,15 +1,16 @@
-//! How long requests last, by those that ended lately and those that are under way.
+//! How long requests last, by those that ended recently and those in progress.
 //!
-//! A node that stops takes a request only if it ends before the kill. Under load streams last several times as long as on
-//! a calm day, so the longest of the last minute tells, and the age of what still runs.
+//! A node that stops accepts a request only if it ends before the node is killed. Under load
+//! streams last several times as long as at other times, so the estimate is the longest of the last
+//! minute and the age of the oldest in progress.
 
 use crosslane_state::time::Millis;
 use std::collections::BTreeSet;
 
-/// Time after which what ended in it begins to be forgotten, in milliseconds.
-const WINDOW: u64 = 30_000;
+/// Length of a window, in milliseconds. Durations are kept for their own window and the next one.
+const WINDOW_MS: u64 = 30_000;
 
-/// A request that is under way.
+/// A request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mark {
     began: Millis,
@@ -19,49 +20,50 @@
 /// Durations of the requests of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Durations {
-    open: BTreeSet<Mark>,
+    in_progress: BTreeSet<Mark>,
     counter: u64,
-    /// The longest that ended in this window and in the one before, in milliseconds.
+    /// Longest duration in this window and in the one before, in milliseconds.
     longest: [Option<u64>; 2],
-    /// When this window began.
-    turned: Millis,
+    /// Start of this window.
+    window_start: Millis,
 }
 
 impl Durations {
-    /// Notes that a request begins.
+    /// Records the start of a request.
     pub fn begin(&mut self, now: Millis) -> Mark {
         self.counter += 1;
         let mark = Mark { began: now, number: self.counter };
-        self.open.insert(mark);
+        self.in_progress.insert(mark);
         mark
     }
 
-    /// Notes that it ended. One that was not answered whole would have lasted longer, if it ran at all.
-    pub fn end(&mut self, mark: Mark, whole: bool, now: Millis) {
-        self.open.remove(&mark);
-        self.turn(now);
-        if whole || self.ended().is_some() {
-            let lasted = now.since(mark.began);
-            self.longest[0] = self.longest[0].max(Some(lasted));
+    /// Records its end. A request without a complete answer would have lasted longer, or did not
+    /// run at all, so it counts only if a complete one is known.
+    pub fn end(&mut self, mark: Mark, complete: bool, now: Millis) {
+        self.in_progress.remove(&mark);
+        self.rotate(now);
+        if complete || self.longest_ended().is_some() {
+            let duration = now.since(mark.began);
+            self.longest[0] = self.longest[0].max(Some(duration));
         }
     }
 
-    /// Time that requests last at the longest, in milliseconds; nothing if none was answered lately.
+    /// Longest duration to expect, in milliseconds; `None` if no request was answered recently.
     pub fn longest(&mut self, now: Millis) -> Option<u64> {
-        self.turn(now);
-        let oldest = self.open.first().map_or(0, |it| now.since(it.began));
-        self.ended().map(|it| it.max(oldest))
+        self.rotate(now);
+        let oldest = self.in_progress.first().map_or(0, |mark| now.since(mark.began));
+        self.longest_ended().map(|longest| longest.max(oldest))
     }
 
-    fn ended(&self) -> Option<u64> {
+    fn longest_ended(&self) -> Option<u64> {
         self.longest[0].max(self.longest[1])
     }
 
-    fn turn(&mut self, now: Millis) {
-        let windows = now.since(self.turned) / WINDOW;
-        if windows > 0 {
-            self.longest = [None, if windows == 1 { self.longest[0] } else { None }];
-            self.turned = now;
+    fn rotate(&mut self, now: Millis) {
+        let elapsed_windows = now.since(self.window_start) / WINDOW_MS;
+        if elapsed_windows > 0 {
+            self.longest = [None, if elapsed_windows == 1 { self.longest[0] } else { None }];
+            self.window_start = now;
         }
     }
 }
--- a/crates/coordination/src/health.rs
+++ b/crates/coordination/src/health.rs
@@ -1,36 +1,39 @@
-//! How well an endpoint has answered lately, judged by the outcomes of real requests.
+//! Health of an endpoint, from the outcomes of recent real requests.
 //!
-//! Failures count beside successes: among many nodes a rate that one in thirty requests fails would
-//! else add up to an endpoint that nobody asks, and its load would fall on the others.
+//! Failures are weighed against successes. With counts of failures alone, a fault that hits one in
+//! thirty requests would add up over many nodes until no node chose the endpoint, and its load
+//! would move to the others.
 
 use crosslane_state::time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Half-life of outcomes, in milliseconds: long enough to be remembered over the 5 s that a fault
-/// usually lasts, short enough to come back soon after.
-const HALF_LIFE: f64 = 2_500.0;
+/// Half-life of outcomes, in milliseconds: long enough to cover the 5 s that a fault usually lasts,
+/// short enough to return to the endpoint soon after.
+const HALF_LIFE_MS: f64 = 2_500.0;
 
-/// Penalty of an endpoint at which everything fails, as load of full endpoints: it is the last choice.
-const WORST: f64 = 3.0;
+/// Penalty of an endpoint at which everything fails, in units of a full endpoint's load: it is the
+/// last choice.
+const MAX_PENALTY: f64 = 3.0;
 
-/// Outcomes that are taken as good beforehand: a single failure then weighs 0.7 of a full endpoint.
-const PRIOR: f64 = 2.0;
+/// Successes that are assumed in advance: a single failure then weighs 0.7 of a full endpoint.
+const PRIOR_SUCCESSES: f64 = 2.0;
 
-/// Outcomes beyond which no more are counted, so that a fault shows soon after a good time.
-const MOST: f32 = 20.0;
+/// Maximum of each count, so that a fault shows soon after a long time without one.
+const MAX_COUNT: f32 = 20.0;
 
-/// How a request at an endpoint ended, as far as the endpoint is to blame.
+/// How a request at an endpoint ended, as far as the endpoint is responsible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// It was answered.
     Good,
-    /// Refused for lack of room.
+    /// It was refused for lack of room.
     Refused,
-    /// Answered with an error of its own, as some requests always are.
+    /// It was answered with an error by the endpoint itself, as a few requests always are.
     Error,
-    /// Broke off, answered nonsense or was silent.
+    /// It broke off, got an invalid answer or timed out.
     Failed,
-    /// Took no connection. It looks empty, but must not be asked before those that are nearly full.
+    /// The endpoint did not accept the connection. Its load seems to be zero, but it must rank
+    /// behind endpoints that are nearly full.
     Down,
 }
 
@@ -47,23 +50,23 @@
     }
 }
 
-/// Outcomes at one endpoint, faded.
+/// Outcomes at one endpoint, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Failures by weight.
+    /// Weighted failures.
     pub failures: f32,
-    /// Successes.
+    /// Number of successes.
     pub successes: f32,
 }
 
 impl Record {
-    /// How much the endpoint is to be avoided, as load of full endpoints.
+    /// Penalty when endpoints are ranked, in units of a full endpoint's load.
     pub fn penalty(self) -> f64 {
         let (failures, successes) = (f64::from(self.failures), f64::from(self.successes));
-        WORST * failures / (failures + successes + PRIOR)
+        MAX_PENALTY * failures / (failures + successes + PRIOR_SUCCESSES)
     }
 
-    /// Both records' outcomes.
+    /// Sum of two records.
     pub fn plus(self, other: Self) -> Self {
         Self {
             failures: self.failures + other.failures,
@@ -71,39 +74,39 @@
         }
     }
 
-    fn faded(self, millis: u64) -> Self {
-        let share = 0.5_f64.powf(millis as f64 / HALF_LIFE) as f32;
-        Self { failures: self.failures * share, successes: self.successes * share }
+    fn decayed(self, millis: u64) -> Self {
+        let factor = 0.5_f64.powf(millis as f64 / HALF_LIFE_MS) as f32;
+        Self { failures: self.failures * factor, successes: self.successes * factor }
     }
 
     fn note(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Good => self.successes = (self.successes + 1.0).min(MOST),
-            // What went well before says nothing of an endpoint that is gone.
+            Outcome::Good => self.successes = (self.successes + 1.0).min(MAX_COUNT),
+            // Earlier successes mean nothing once the endpoint is gone.
             Outcome::Down => self.successes = 0.0,
             Outcome::Refused | Outcome::Error | Outcome::Failed => {}
         }
-        self.failures = (self.failures + outcome.weight()).min(MOST);
+        self.failures = (self.failures + outcome.weight()).min(MAX_COUNT);
     }
 }
 
-/// This node's own outcomes at one endpoint.
+/// Outcomes of this node's own requests at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     record: Record,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl Health {
-    /// Outcomes as they count now.
+    /// The outcomes, decayed to `now`.
     pub fn record(&self, now: Millis) -> Record {
-        self.record.faded(now.since(self.at))
+        self.record.decayed(now.since(self.updated_at))
     }
 
     /// Counts an outcome.
     pub fn note(&mut self, outcome: Outcome, now: Millis) {
         self.record = self.record(now);
         self.record.note(outcome);
-        self.at = now;
+        self.updated_at = now;
     }
 }
--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -1,21 +1,22 @@
-//! Whose a request is, by the configuration in force.
+//! Identifies the organisation of a request by its key and the configuration in force.
 //!
-//! A key that is shown must be known, also where none is needed: one that was taken away must not run
-//! anything. A configuration that names no organisations, not even an empty list, lets anyone in.
+//! A key that is sent must be known, also on routes that need none: a revoked key must not run
+//! anything. A configuration without a list of organisations admits everyone; an empty list admits
+//! nobody with a key.
 
 use crosslane_state::organisation::{Credential, Organisation};
 use crosslane_state::route::{Route, Table};
 
-/// Why a caller is not let in.
+/// Why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It shows no key where one is needed, or something that is none.
+    /// It sent no key where one is needed, or a malformed one.
     NoKey,
     /// No organisation has its key.
     UnknownKey,
 }
 
-/// The organisation of a caller on a route; none where none is needed.
+/// The organisation of a caller on a route; `None` where no key is needed and none was sent.
 pub fn identify<'a>(
     table: &'a Table,
     route: &Route,
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,13 +1,14 @@
 //! Rate limits that endpoints name in their answers, as this node knows them.
 //!
-//! An endpoint in need names in each answer how many requests a second it takes from all nodes together. An answer
-//! without a limit ends it, but answers overtake each other: one to a request that was sent before this
-//! node knew of the limit may have been made before it was named. So a lower limit counts at
-//! once, and a higher one or none only if its request was sent since.
+//! An overloaded endpoint names in each answer how many requests per second it takes from all nodes
+//! together. An answer without a limit ends it, but answers overtake each other: one whose request
+//! was sent before this node knew of the limit may have been made before the limit was named. So a
+//! lower limit is applied at once; a higher one or none only if its request was sent after the last
+//! change.
 //!
-//! Nodes tell each other what changes, as words with revisions. Of two words the higher revision counts; of two changes
-//! that were seen at the same time, the lower limit. So all nodes come to the same, in whatever order words arrive. What
-//! may be sent under a limit is decided by its owner, as for organisations (`quota`).
+//! Nodes send each other changes with revisions. The higher revision wins; of two changes with the
+//! same revision, the lower limit. So all nodes converge, whatever the order of messages. What may
+//! be sent under a limit is decided by its owner, as for organisations (`quota`).
 
 use crate::quota::Bound;
 use crosslane_state::endpoint::Tag;
@@ -18,92 +19,98 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// Time in which an owner may send at once what comes in, in seconds. Callers come unevenly, and a bucket of one
-/// request would waste much of the limit; a full second of it would burden an endpoint in need.
-const BURST_S: f64 = 0.5;
+/// Size of a limit's token bucket, in seconds of its rate. Requests arrive unevenly, so a bucket of
+/// a single request would waste much of the limit; a full second would burden an endpoint that is
+/// already overloaded.
+const BURST_SECONDS: f64 = 0.5;
 
-/// Rate that is used of an endpoint that takes none, in requests a second: only an answer can say that it does again.
-const PROBES: f64 = 0.1;
+/// Rate at which an endpoint with a limit of zero is probed, in requests per second: only an answer
+/// can show that it takes requests again.
+const PROBE_RATE: f64 = 0.1;
 
-/// Least rate that is used of any other, in requests a second.
-const LEAST: f64 = 0.02;
+/// Lowest rate for any other endpoint, in requests per second.
+const MIN_RATE: f64 = 0.02;
 
-/// How a bucket is filled: nothing is borne beyond the limit, and a whole request can be saved up at the least rate.
+/// Tolerance of these limits: nothing is tolerated beyond the limit, and the window is long enough
+/// to save up a whole request at the lowest rate.
 pub const BOUND: Bound = Bound { window: 60_000, overage: 0.0, slack: 0.0 };
 
-/// Part of the limit that a node grants which is not its first owner. Nodes that miss the first owner's answers ask the
-/// next one while others still ask the first; together they must not grant the limit twice.
-const DEPUTY: f64 = 0.25;
+/// Share of the limit that a backup owner grants. Nodes that miss answers of the first owner ask
+/// the next one while others still ask the first; together the two must not grant the limit twice.
+const BACKUP_SHARE: f64 = 0.25;
 
-/// Longest wait that is advised, in milliseconds. With hundreds of nodes each gets a turn once in minutes.
-const LONGEST_WAIT: u64 = 10_000;
+/// Longest wait that is advised, in milliseconds. With hundreds of nodes each gets a turn once in
+/// minutes.
+const MAX_WAIT_MS: u64 = 10_000;
 
-/// Time for which the limit of an endpoint that is not listed is kept, in milliseconds: the list may lag.
-const UNLISTED: u64 = 10_000;
+/// Time for which the limit of an unlisted endpoint is kept, in milliseconds: the list of endpoints
+/// may lag.
+const UNLISTED_TTL_MS: u64 = 10_000;
 
-/// What a node tells of an endpoint's limit.
+/// An endpoint's limit with its revision, as nodes send it to each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Word {
-    /// Counts the changes that were seen.
+    /// Number of changes so far.
     pub revision: u64,
-    /// The limit; nothing since the endpoint names none.
+    /// The limit; `None` if the endpoint names none any more.
     pub rate: Option<Rate>,
 }
 
 impl Word {
-    /// Whether it counts rather than another.
-    fn outdoes(self, other: Self) -> bool {
+    /// Whether it wins over another one.
+    fn wins_over(self, other: Self) -> bool {
         let newer = self.revision > other.revision;
         newer || (self.revision == other.revision && lower(self.rate, other.rate))
     }
 }
 
-/// What is known of one endpoint.
+/// What this node knows of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct Entry {
     word: Word,
-    /// Since when this node knows.
-    since: Millis,
+    /// When this node learned of it.
+    learned_at: Millis,
 }
 
-/// A limit that is new to this node.
+/// A change of a limit that is new to this node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
-    /// Limit so far.
+    /// Previous limit.
     pub before: Option<Rate>,
     /// Limit from now on.
     pub rate: Option<Rate>,
 }
 
 impl Change {
-    /// Whether the endpoint began or ceased to name a limit. All nodes have to know that; which one it names, only those
-    /// who rule on it.
-    fn concerns_all(self) -> bool {
+    /// Whether the endpoint began or ceased to name a limit. All nodes need to know that; the rate
+    /// itself matters only to the limit's owners.
+    fn concerns_all_nodes(self) -> bool {
         self.before.is_some() != self.rate.is_some()
     }
 }
 
-/// What is to be told to other nodes.
+/// Changes to send to other nodes.
 #[derive(Debug, Default)]
 pub struct News {
-    /// Words for all.
+    /// For all nodes.
     pub all: Vec<(Tag, Word)>,
-    /// Words for the owners of their limits.
+    /// For the owners of the limits only.
     pub owners: Vec<(Tag, Word)>,
 }
 
 /// Limits by endpoint.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: HashMap<Tag, Known>,
-    /// Endpoints whose words are to be told, and whether to all.
-    news: HashMap<Tag, bool>,
-    /// Endpoints that named what is no limit.
-    unreadable: HashSet<Tag>,
+    entries: HashMap<Tag, Entry>,
+    /// Endpoints with unsent changes, and whether these go to all nodes.
+    unsent: HashMap<Tag, bool>,
+    /// Endpoints that named a limit that can't be parsed.
+    invalid: HashSet<Tag>,
 }
 
 impl Limits {
-    /// Takes what an answer says whose request was sent at a time.
+    /// Applies the limit in an answer, or its absence. `sent` is when the answer's request was
+    /// sent.
     pub fn note(
         &mut self,
         endpoint: Tag,
@@ -111,36 +118,36 @@
         sent: Millis,
         now: Millis,
     ) -> Option<Change> {
-        let Known { word, since } = self.known.get(&endpoint).copied().unwrap_or_default();
-        let counts = lower(rate, word.rate) || (rate != word.rate && sent > since);
-        if !counts {
+        let Entry { word, learned_at } = self.entries.get(&endpoint).copied().unwrap_or_default();
+        let applies = lower(rate, word.rate) || (rate != word.rate && sent > learned_at);
+        if !applies {
             return None;
         }
         let change = Change { before: word.rate, rate };
-        *self.news.entry(endpoint).or_default() |= change.concerns_all();
+        *self.unsent.entry(endpoint).or_default() |= change.concerns_all_nodes();
         let word = Word { revision: word.revision + 1, rate };
-        self.known.insert(endpoint, Known { word, since: now });
+        self.entries.insert(endpoint, Entry { word, learned_at: now });
         Some(change)
     }
 
-    /// Notes that an endpoint names what is no limit; whether for the first time.
+    /// Records that an endpoint named a limit that can't be parsed; true the first time.
     pub fn unreadable(&mut self, endpoint: Tag) -> bool {
-        self.unreadable.insert(endpoint)
+        self.invalid.insert(endpoint)
     }
 
-    /// Takes another node's word.
+    /// Applies a change from another node.
     pub fn hear(&mut self, endpoint: Tag, word: Word, now: Millis) -> Option<Change> {
-        let known = self.known.get(&endpoint).map(|it| it.word).unwrap_or_default();
-        if !word.outdoes(known) {
+        let known = self.entries.get(&endpoint).map(|entry| entry.word).unwrap_or_default();
+        if !word.wins_over(known) {
             return None;
         }
-        self.known.insert(endpoint, Known { word, since: now });
+        self.entries.insert(endpoint, Entry { word, learned_at: now });
         (word.rate != known.rate).then_some(Change { before: known.rate, rate: word.rate })
     }
 
     /// What is known of an endpoint's limit.
     pub fn word(&self, endpoint: Tag) -> Option<Word> {
-        self.known.get(&endpoint).map(|it| it.word)
+        self.entries.get(&endpoint).map(|entry| entry.word)
     }
 
     /// The limit that an endpoint names.
@@ -148,43 +155,46 @@
         self.word(endpoint)?.rate
     }
 
-    /// All words, also of limits that ended: who missed an end would hold on to its limit.
+    /// All entries, also of limits that ended: a node that missed the end would otherwise keep the
+    /// limit.
     pub fn words(&self) -> Vec<(Tag, Word)> {
-        self.known.iter().map(|(endpoint, it)| (*endpoint, it.word)).collect()
+        self.entries.iter().map(|(endpoint, entry)| (*endpoint, entry.word)).collect()
     }
 
-    /// Digest of the endpoints that name a limit: the same at nodes that know of the same ones. Which limit it is may
-    /// change with each answer, and only owners have to know.
+    /// Digest of the endpoints that name a limit. Rates are left out, since they may change with
+    /// each answer and matter only to owners.
     pub fn digest(&self) -> u64 {
-        let named = self.known.iter().filter(|(_, it)| it.word.rate.is_some());
+        let named = self.entries.iter().filter(|(_, entry)| entry.word.rate.is_some());
         named.fold(0, |digest, (endpoint, _)| digest ^ hash::of(&endpoint.0.to_le_bytes()))
     }
 
-    /// What changed since this was last asked.
+    /// Takes the changes since the last call.
     pub fn news(&mut self) -> News {
         let mut news = News::default();
-        for (endpoint, all) in std::mem::take(&mut self.news) {
-            if let Some(it) = self.known.get(&endpoint) {
-                let words = if all { &mut news.all } else { &mut news.owners };
-                words.push((endpoint, it.word));
+        for (endpoint, to_all) in std::mem::take(&mut self.unsent) {
+            if let Some(entry) = self.entries.get(&endpoint) {
+                let words = if to_all { &mut news.all } else { &mut news.owners };
+                words.push((endpoint, entry.word));
             }
         }
         news
     }
 
-    /// Endpoints that name a limit.
+    /// Number of endpoints that name a limit.
     pub fn count(&self) -> usize {
-        self.known.values().filter(|it| it.word.rate.is_some()).count()
+        self.entries.values().filter(|entry| entry.word.rate.is_some()).count()
     }
 
-    /// Forgets endpoints that are gone.
+    /// Drops endpoints that are gone.
     pub fn expire(&mut self, listed: impl Fn(Tag) -> bool, now: Millis) {
-        self.unreadable.retain(|it| listed(*it));
-        self.known.retain(|it, known| listed(*it) || now.since(known.since) < UNLISTED);
+        self.invalid.retain(|endpoint| listed(*endpoint));
+        self.entries.retain(|endpoint, entry| {
+            listed(*endpoint) || now.since(entry.learned_at) < UNLISTED_TTL_MS
+        });
     }
 }
 
-/// Whether one limit is lower than another; none is the highest.
+/// Whether one limit is lower than another; `None` is the highest.
 fn lower(one: Option<Rate>, other: Option<Rate>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => one < other,
@@ -193,47 +203,49 @@
     }
 }
 
-/// What all nodes together may send to an endpoint that names a rate.
+/// Limit on requests of all nodes together to an endpoint that names a rate.
 pub fn limit(rate: Rate) -> Limit {
     let rate = match rate.per_second() {
-        0.0 => PROBES,
-        rate => rate.max(LEAST),
+        0.0 => PROBE_RATE,
+        rate => rate.max(MIN_RATE),
     };
-    Limit { rate, burst: rate * BURST_S }
+    Limit { rate, burst: rate * BURST_SECONDS }
 }
 
-/// What a node may grant in the place of a limit's first owner.
+/// Part of a limit that a backup owner may grant.
 pub fn deputy(limit: Limit) -> Limit {
-    Limit { rate: limit.rate * DEPUTY, burst: limit.burst * DEPUTY }
+    Limit { rate: limit.rate * BACKUP_SHARE, burst: limit.burst * BACKUP_SHARE }
 }
 
-/// Requests that were refused under each limit and may come again.
+/// Virtual queues of the requests that were refused under each limit and are to be retried.
 ///
-/// Load pattern: every node of a large fleet has requests for an endpoint that takes two a second. Each that is told to come
-/// back when there is room again would find it taken, and ask again at once. So each is sent to the end of the queue.
+/// Load pattern: every node of a large fleet has requests for an endpoint that takes two per
+/// second. If each were told to retry when there is room again, all but one would find it taken and
+/// ask again at once. So each retry is placed behind those before it.
 #[derive(Debug, Default)]
 pub struct Queues(HashMap<Tag, Queue>);
 
 #[derive(Clone, Copy, Debug)]
 struct Queue {
     waiting: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl Queues {
-    /// When one more that was refused should come back, in milliseconds; `wait` if it were alone.
+    /// Adds a refused request and returns its wait in milliseconds; `wait` is its wait if it were
+    /// alone.
     pub fn join(&mut self, endpoint: Tag, rate: f64, wait: u64, now: Millis) -> u64 {
-        let queue = self.0.entry(endpoint).or_insert(Queue { waiting: 0.0, at: now });
-        let served = rate * now.since(queue.at) as f64 / 1_000.0;
-        let most = rate * LONGEST_WAIT as f64 / 1_000.0;
-        let before = (queue.waiting - served).max(0.0);
-        *queue = Queue { waiting: (before + 1.0).min(most), at: now };
-        let behind = (before / rate.max(LEAST) * 1_000.0) as u64;
-        (wait + behind).min(LONGEST_WAIT)
+        let queue = self.0.entry(endpoint).or_insert(Queue { waiting: 0.0, updated_at: now });
+        let served = rate * now.since(queue.updated_at) as f64 / 1_000.0;
+        let capacity = rate * MAX_WAIT_MS as f64 / 1_000.0;
+        let ahead = (queue.waiting - served).max(0.0);
+        *queue = Queue { waiting: (ahead + 1.0).min(capacity), updated_at: now };
+        let delay_ms = (ahead / rate.max(MIN_RATE) * 1_000.0) as u64;
+        (wait + delay_ms).min(MAX_WAIT_MS)
     }
 
-    /// Forgets queues that are empty.
+    /// Drops queues that are empty.
     pub fn expire(&mut self, now: Millis) {
-        self.0.retain(|_, it| now.since(it.at) < LONGEST_WAIT);
+        self.0.retain(|_, queue| now.since(queue.updated_at) < MAX_WAIT_MS);
     }
 }
--- a/crates/coordination/src/pace.rs
+++ b/crates/coordination/src/pace.rs
@@ -1,41 +1,42 @@
-//! How fast bytes may be given away, so that the rest of a link stays for other uses.
+//! Limits the rate at which bytes are sent, so that the rest of a link stays free for other
+//! traffic.
 //!
-//! What may go at once is refilled over time. The last to go may overdraw it, so that a single large
-//! piece is never refused for good.
+//! A token bucket whose last piece may overdraw it, so that a single large piece is never refused
+//! forever.
 
 use crosslane_state::time::Millis;
 
-/// A refilled allowance of bytes.
+/// Token bucket of bytes.
 #[derive(Clone, Debug)]
 pub struct Pace {
-    /// Bytes a second.
+    /// Bytes per second.
     rate: u64,
-    /// Bytes that may go at once after a rest.
+    /// Size of the bucket, in bytes.
     burst: i64,
-    left: i64,
-    refilled: Millis,
+    level: i64,
+    refilled_at: Millis,
 }
 
 impl Pace {
-    /// So many bytes a second, and so many at once after a rest.
+    /// Creates a full bucket of `burst` bytes that refills at `rate` bytes per second.
     pub fn new(rate: u64, burst: u32) -> Self {
         let burst = i64::from(burst);
-        Self { rate, burst, left: burst, refilled: Millis::default() }
+        Self { rate, burst, level: burst, refilled_at: Millis::default() }
     }
 
-    /// Whether something may go now.
+    /// Refills the bucket; true if a piece may be sent now.
     pub fn open(&mut self, now: Millis) -> bool {
-        let gained = self.rate.saturating_mul(now.since(self.refilled)) / 1_000;
-        // A part of a byte is not lost: the time is taken up only with a gain.
+        let gained = self.rate.saturating_mul(now.since(self.refilled_at)) / 1_000;
+        // Time that has not yet earned a whole byte is kept for the next call.
         if gained > 0 {
-            self.left = self.left.saturating_add_unsigned(gained).min(self.burst);
-            self.refilled = now;
+            self.level = self.level.saturating_add_unsigned(gained).min(self.burst);
+            self.refilled_at = now;
         }
-        self.left > 0
+        self.level > 0
     }
 
-    /// Takes what went.
+    /// Takes the bytes of a piece that was sent.
     pub fn spend(&mut self, bytes: usize) {
-        self.left -= i64::try_from(bytes).unwrap_or(i64::MAX);
+        self.level -= i64::try_from(bytes).unwrap_or(i64::MAX);
     }
 }
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -1,24 +1,31 @@
-//! Requests that make the endpoints crash that run them, and what nodes know of them together.
+//! Requests that crash the endpoints that run them (poison requests), and what all nodes know of
+//! them.
 //!
-//! Load pattern: a request whose run ends its engine comes again and again, through every node, under new
-//! ids. Health belongs to endpoints and forgets it with the engine, so each copy ended two more. Here the
-//! request is remembered: an endpoint that is gone right after it began to run a request is a strike against
-//! that request, and one with three strikes, at three incarnations, is shut out.
+//! Load pattern: a request that crashes its engine is sent again and again, through every node and
+//! under new ids. Endpoint health is kept per incarnation and is lost with the engine, so each copy
+//! would crash two more. This module remembers the request instead: an endpoint that goes down
+//! right after it began to run a request is a strike against that request, and a request with
+//! strikes from three incarnations is shut out.
 //!
-//! Others run at the same engine and are struck with it, so a strike alone costs them nothing:
+//! Other requests run at the same engine and get the strike too, so a strike alone has no cost for
+//! them:
 //!
-//! - Only what began a moment before is struck; a run that went well or went on is forgotten.
-//! - A suspect is tried by one node at a time, and no two at one engine. So copies that come meanwhile
-//!   do not each end an engine, and what was resumed beside the culprit is not struck with it again.
-//! - No request is ruled on while other suspects were at all the endpoints that ended under it: where few engines
-//!   generate, what breaks off with the culprit may go on beside it. Each is tried by itself until one of them
-//!   runs well, or ends an endpoint alone.
-//! - What a request that is shut out has ended is held against no other, unless all of it and one endpoint more ended
-//!   under that one. Then that one is shut out, and the first is let in again.
-//! - Of endpoints that end together with many others, as with a failure domain or a release, only a request is
-//!   suspected that was at two of them.
+//! - Only runs that began a moment before the crash get a strike. A request that completes, or that
+//!   keeps running for long enough, is cleared.
+//! - Only one node at a time runs a suspect, and no two suspects run at the same engine. So copies
+//!   that arrive meanwhile don't each crash an engine, and a request that is resumed next to the
+//!   culprit isn't struck with it again.
+//! - No request is shut out while other suspects were present at all the endpoints that crashed
+//!   under it: where few engines decode, a request that was interrupted together with the culprit
+//!   may be resumed next to it. Suspects are then tried one by one until one of them completes, or
+//!   crashes an endpoint alone.
+//! - Crashes that are attributed to a request that is shut out count against no other request,
+//!   unless another one was present at all of these crashes and at one more. Then that one is shut
+//!   out, and the ruling on the first is lifted.
+//! - If many endpoints go down together, as with a failure domain or a release, a request is a
+//!   suspect only if it ran at two of them.
 //!
-//! Strikes are sets of incarnations, so nodes merge what they hear in any order.
+//! Strikes are sets of incarnations, so nodes can merge updates in any order.
 
 use crate::ruling::{Ruling, SHUT, Verdict};
 use crate::suspect::{SHUT_AT, Suspect, TOGETHER, Trial};
@@ -28,65 +35,68 @@
 use crosslane_state::time::Millis;
 use std::collections::BTreeMap;
 
-/// Time from the beginning of a run in which a crash is held against it, in milliseconds: such runs ended
-/// 34 to 115 ms after they began (15 seen). With twice that time 2 of 2,920 innocent
-/// requests were shut out where engines ended in a row at 7 nodes, with this none of 8,626 (simulated).
+/// Time from the start of a run in which a crash counts as a strike against its request, in
+/// milliseconds. Culprits crash their engine 34 to 115 ms after the start. With twice this time, 2
+/// of 2,920 innocent requests are shut out where engines crash in a row at 7 nodes; with this time,
+/// none of 8,626.
 pub const BLAMED: u64 = 250;
 
-/// Time after which a run that goes on shows that its request is innocent, in milliseconds.
+/// Time after which a run that still goes on shows that its request is innocent, in milliseconds.
 pub const INNOCENT: u64 = 3 * BLAMED;
 
-/// Time that strikes count, in milliseconds: callers return within their deadline of seconds, and a person
-/// who tries again within minutes.
-const SUSPECTED: u64 = 600_000;
+/// Time for which strikes count, in milliseconds. Callers retry within their deadline of seconds,
+/// and people who try again do so within minutes.
+const STRIKE_TTL_MS: u64 = 600_000;
 
-/// Time that excuses count where nothing else is held against a request, in milliseconds: the same strikes are still
-/// heard from others. While any are kept, the fingerprint of each request is taken.
-const EXCUSED: u64 = 2_000;
+/// Time for which excused crashes are kept if nothing else is known of a request, in milliseconds:
+/// other nodes still report the same crashes. While any entry is kept, the fingerprint of each
+/// request is computed.
+const EXCUSED_TTL_MS: u64 = 2_000;
 
-/// Time that ends count which another request is shut out for, in milliseconds: by then a culprit that was taken for its
-/// companion has come back.
-const SHARED: u64 = 60_000;
+/// Time for which crashes are kept that are attributed to another request, in milliseconds. If that
+/// request was only a bystander of the real culprit, the culprit is sent again within this time.
+const ATTRIBUTED_TTL_MS: u64 = 60_000;
 
-/// Time between the announcement of a suspect's run and the run, in milliseconds: by then a node that announced one at
-/// the same endpoint is heard of.
+/// Time between the announcement of a trial and its start, in milliseconds. It lets a concurrent
+/// announcement for the same endpoint arrive from another node first.
 pub const ANNOUNCED: u64 = 20;
 
-/// Time that another node's trial keeps copies back, in milliseconds: memory, a prefill and the first
-/// tokens take some 2 s. It ends sooner when that node says so.
-const TRIAL: u64 = 3_000;
+/// Time for which another node's trial holds back copies of the request, in milliseconds. Reserving
+/// memory, prefill and the first tokens take up to 2 s. The trial ends sooner if that node reports
+/// its end.
+const TRIAL_MS: u64 = 3_000;
 
-/// Time after its last strike in which a request that is shut out may let others in again, in milliseconds: more than the
-/// time that nodes leave the decision to one another.
-const ACQUITS: u64 = 5_000;
+/// Time after its last strike in which a request that is shut out may get other rulings lifted, in
+/// milliseconds. It is longer than the time for which nodes leave the decision to others.
+const LIFT_WINDOW_MS: u64 = 5_000;
 
-/// Endpoints that end together from which on something else has ended them: copies that are tried one at a time
-/// end two in that time.
-const MANY: usize = 3;
+/// Number of endpoints going down together from which on they have another cause than a request:
+/// copies that are tried one at a time crash at most two in that time.
+const JOINT_CRASHES: usize = 3;
 
-/// Most requests that are suspected, and most rulings: some 200 bytes each. Known ones are kept, so that a flood
-/// of others can't push them out.
-const MOST_SUSPECTS: usize = 4_096;
-const MOST_RULINGS: usize = 1_024;
+/// Maximum numbers of suspects and of rulings, some 200 bytes each. Known ones are kept at the
+/// maximum, so that a flood of new ones can't evict them.
+const MAX_SUSPECTS: usize = 4_096;
+const MAX_RULINGS: usize = 1_024;
 
-/// Requests under which endpoints ended.
+/// Requests under which endpoints crashed.
 #[derive(Debug)]
 pub struct Quarantine {
-    /// This node.
-    me: Tag,
+    /// Tag of this node.
+    node: Tag,
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Endpoints that ended a moment ago, as this node saw or heard, and when.
-    ended: Vec<(Tag, Millis)>,
-    /// What others are still to be told.
-    words: Vec<(Fingerprint, Word)>,
-    /// Rulings that the store may lack, since when, and whether this node made them.
+    /// Endpoints that went down a moment ago, as seen or reported, and when.
+    recent_crashes: Vec<(Tag, Millis)>,
+    /// Updates that are still to be sent to other nodes.
+    outbox: Vec<(Fingerprint, Word)>,
+    /// Rulings that the store may lack.
     unsaved: BTreeMap<Fingerprint, Unsaved>,
-    /// Digest of all rulings, and their number.
+    /// Combined digest of all rulings.
     digest: u64,
-    ruled: usize,
+    ruling_count: usize,
 }
 
-/// A ruling that the store may lack.
+/// A ruling that the store may lack: since when it is known, and whether this node made it.
 #[derive(Clone, Copy, Debug)]
 struct Unsaved {
     since: Millis,
@@ -94,110 +104,113 @@
 }
 
 impl Quarantine {
-    /// Nothing is known at this node.
-    pub fn new(me: Tag) -> Self {
+    /// Creates an empty quarantine at `node`.
+    pub fn new(node: Tag) -> Self {
         let (suspects, unsaved) = (BTreeMap::new(), BTreeMap::new());
-        let (ended, words, digest, ruled) = (Vec::new(), Vec::new(), 0, 0);
-        Self { me, suspects, ended, words, unsaved, digest, ruled }
+        let (recent_crashes, outbox, digest, ruling_count) = (Vec::new(), Vec::new(), 0, 0);
+        Self { node, suspects, recent_crashes, outbox, unsaved, digest, ruling_count }
     }
 
-    /// Whether nothing is held against any request, so that none need be looked for.
+    /// Whether there are no entries at all, so that no request has to be looked up.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How a request stands.
-    pub fn standing(&self, request: Fingerprint, now: Millis, unix: u64) -> Standing {
+    /// Status of a request.
+    pub fn standing(&self, request: Fingerprint, now: Millis, unix_ms: u64) -> Standing {
         let Some(suspect) = self.suspects.get(&request) else {
             return Standing::Free;
         };
-        let elsewhere = suspect.trial.is_some_and(|it| it.until > now);
-        let since = suspect.ruling.map_or(unix, |it| it.at);
-        match self.is_shut(request, suspect) {
-            true => Standing::Shut((since + SHUT).saturating_sub(unix)),
+        let on_trial = suspect.trial.is_some_and(|trial| trial.until > now);
+        let since = suspect.ruling.map_or(unix_ms, |ruling| ruling.at);
+        match self.is_shut_out(request, suspect) {
+            true => Standing::Shut((since + SHUT).saturating_sub(unix_ms)),
             false if suspect.strikes.is_empty() => Standing::Free,
-            false if elsewhere => Standing::OnTrial,
+            false if on_trial => Standing::OnTrial,
             false => Standing::Suspect,
         }
     }
 
-    /// Whether a request is shut out, be it that the ruling is still on its way.
-    fn is_shut(&self, request: Fingerprint, suspect: &Suspect) -> bool {
+    /// Whether a request is shut out, either by a ruling or because one is due.
+    fn is_shut_out(&self, request: Fingerprint, suspect: &Suspect) -> bool {
         match suspect.ruling {
             Some(ruling) => ruling.verdict == Verdict::Shut,
-            None => suspect.guilty() && !self.is_explained(request, suspect),
+            None => {
+                suspect.has_enough_strikes() && !self.is_explained_by_suspects(request, suspect)
+            }
         }
     }
 
-    /// Whether other suspects may have ended all that ended under a request.
-    fn is_explained(&self, request: Fingerprint, suspect: &Suspect) -> bool {
-        let others = || self.suspects.iter().filter(|(it, _)| **it != request);
-        let explained =
-            |it: &Tag| others().any(|(_, other)| other.may_explain() && other.was_at(*it));
+    /// Whether other suspects may have caused all crashes under a request.
+    fn is_explained_by_suspects(&self, request: Fingerprint, suspect: &Suspect) -> bool {
+        let others = || self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != request);
+        let explained = |endpoint: &Tag| {
+            others().any(|(_, other)| other.may_cause_crashes() && other.was_present_at(*endpoint))
+        };
         suspect.strikes.iter().all(explained)
     }
 
-    /// Begins a run of a suspect at an endpoint.
+    /// Begins a trial of a suspect at an endpoint, if the request is one.
     pub fn begin(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.trial = Some(Trial { by: self.me, endpoint, until: now + TRIAL });
-            if suspect.told {
-                self.words.push((request, Word::Tried(endpoint)));
+            suspect.trial = Some(Trial { by: self.node, endpoint, until: now + TRIAL_MS });
+            if suspect.announced {
+                self.outbox.push((request, Word::Tried(endpoint)));
             }
         }
     }
 
-    /// Ends this node's run of a suspect.
+    /// Ends this node's trial of a suspect.
     pub fn rest(&mut self, request: Fingerprint, now: Millis) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
         };
-        if suspect.trial.is_none_or(|it| it.by != self.me) {
+        if suspect.trial.is_none_or(|trial| trial.by != self.node) {
             return;
         }
-        suspect.rest(now);
-        if suspect.told {
-            self.words.push((request, Word::Rested));
+        suspect.end_trial(now);
+        if suspect.announced {
+            self.outbox.push((request, Word::Rested));
         }
     }
 
-    /// Whether a run of a suspect that was announced gives way to another suspect's at the same endpoint. Of two that
-    /// were announced at once one does.
+    /// Whether an announced trial must yield to that of another suspect at the same endpoint. Of
+    /// two that are announced at the same time, the one with the higher fingerprint yields.
     pub fn gives_way(&self, request: Fingerprint, endpoint: Tag, now: Millis) -> bool {
-        let before = self.suspects.range(..request).filter_map(|(_, it)| it.trial);
-        before.filter(|it| it.until > now).any(|it| it.endpoint == endpoint)
+        let lower = self.suspects.range(..request).filter_map(|(_, suspect)| suspect.trial);
+        lower.filter(|trial| trial.until > now).any(|trial| trial.endpoint == endpoint)
     }
 
-    /// Endpoints at which other suspects run.
+    /// Endpoints at which other suspects are on trial.
     pub fn trials(&self, request: Fingerprint, now: Millis) -> Vec<Tag> {
-        let others = self.suspects.iter().filter(|(it, _)| **it != request);
-        let trials = others.filter_map(|(_, it)| it.trial);
-        trials.filter(|it| it.until > now).map(|it| it.endpoint).collect()
+        let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != request);
+        let trials = others.filter_map(|(_, suspect)| suspect.trial);
+        trials.filter(|trial| trial.until > now).map(|trial| trial.endpoint).collect()
     }
 
-    /// Counts an endpoint that ended under a request right after it had begun there.
+    /// Records that an endpoint crashed right after a request had started there.
     pub fn strike(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) -> Strike {
         self.ended(endpoint, now);
-        let explained = self.is_explained_by_ruling(request, endpoint);
+        let attributed = self.is_attributed_elsewhere(request, endpoint);
         let known = self.suspects.contains_key(&request);
         if !known && !self.has_room() {
             return Strike::Full;
         }
         let suspect = self.suspects.entry(request).or_default();
-        if explained && !suspect.ruled_out() {
-            suspect.share_one(endpoint);
+        if attributed && !suspect.is_ruled_out() {
+            suspect.attribute_one(endpoint);
             if !known {
-                suspect.at = now;
+                suspect.last_strike_at = now;
             }
-            self.restore(request);
+            self.restore_attributed(request);
             return Strike::Explained;
         }
-        if !suspect.strike(endpoint) {
+        if !suspect.add_strike(endpoint) {
             return Strike::Known;
         }
-        (suspect.at, suspect.seen, suspect.last_seen) = (now, true, true);
-        self.excuse_chance();
-        self.restore(request);
+        (suspect.last_strike_at, suspect.saw_strike, suspect.saw_last_strike) = (now, true, true);
+        self.excuse_coincidences();
+        self.restore_attributed(request);
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return Strike::Chance;
         };
@@ -205,288 +218,328 @@
         if strikes == 0 {
             return Strike::Chance;
         }
-        if strikes > 1 || self.ended.len() <= MANY {
-            suspect.told = true;
-            self.words.push((request, Word::Struck(suspect.strikes.clone())));
+        if strikes > 1 || self.recent_crashes.len() <= JOINT_CRASHES {
+            suspect.announced = true;
+            self.outbox.push((request, Word::Struck(suspect.strikes.clone())));
         }
         Strike::Held(strikes)
     }
 
-    /// Whether another request is shut out under which an endpoint ended.
-    fn is_explained_by_ruling(&self, request: Fingerprint, endpoint: Tag) -> bool {
-        let mut others = self.suspects.iter().filter(|(it, _)| **it != request);
-        others.any(|(_, other)| other.ruled_out() && other.strikes.contains(&endpoint))
+    /// Whether an endpoint crashed under another request that is shut out.
+    fn is_attributed_elsewhere(&self, request: Fingerprint, endpoint: Tag) -> bool {
+        let mut others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != request);
+        others.any(|(_, other)| other.is_ruled_out() && other.strikes.contains(&endpoint))
     }
 
-    /// Rules on requests under which enough endpoints ended, once it is known that these did not end together
-    /// with others. They are kept out meanwhile. Returns those that are shut out now.
-    pub fn settle(&mut self, now: Millis, unix: u64) -> Vec<Fingerprint> {
-        if self.ruled >= MOST_RULINGS {
+    /// Shuts out requests with enough strikes, after the time in which joint crashes may still
+    /// become known. Until then they are refused without a ruling. Returns those that are newly
+    /// shut out.
+    pub fn settle(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
+        if self.ruling_count >= MAX_RULINGS {
             return Vec::new();
         }
-        let due = self.suspects.iter().filter(|(_, it)| it.due(now));
-        let due = due.filter(|(request, it)| !self.is_explained(**request, it));
+        let due = self.suspects.iter().filter(|(_, suspect)| suspect.is_due(now));
+        let due =
+            due.filter(|(request, suspect)| !self.is_explained_by_suspects(**request, suspect));
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
-        due.into_iter().filter(|it| self.shut(*it, now, unix)).collect()
-    }
-
-    /// Lets requests in again that another one outdoes which is shut out by now. Returns them.
-    pub fn acquit(&mut self, now: Millis, unix: u64) -> Vec<Fingerprint> {
-        let ruled_out = || self.suspects.values().filter(|it| it.ruled_out());
-        let lately = |it: &&Suspect| (it.left_to_others()..ACQUITS).contains(&now.since(it.at));
-        let culprits: Vec<&Suspect> = ruled_out().filter(lately).collect();
-        let outdone = self.suspects.iter().filter(|(_, it)| it.ruled_out());
-        let outdone = outdone.filter(|(_, it)| culprits.iter().any(|culprit| culprit.outdoes(it)));
-        let outdone = outdone.filter_map(|(request, it)| Some((*request, it.ruling?)));
-        let outdone: Vec<(Fingerprint, Ruling)> = outdone.collect();
-        for (request, ruling) in &outdone {
-            let at = unix.max(ruling.at + 1);
-            self.decide(*request, Ruling { at, verdict: Verdict::Lifted }, now, unix);
+        due.into_iter().filter(|request| self.shut_out(*request, now, unix_ms)).collect()
+    }
+
+    /// Lifts rulings on requests that are superseded by another one that is shut out by now.
+    /// Returns these requests.
+    pub fn acquit(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
+        let ruled_out = || self.suspects.values().filter(|suspect| suspect.is_ruled_out());
+        let recent = |suspect: &&Suspect| {
+            (suspect.decision_delay_ms()..LIFT_WINDOW_MS)
+                .contains(&now.since(suspect.last_strike_at))
+        };
+        let culprits: Vec<&Suspect> = ruled_out().filter(recent).collect();
+        let superseded = self.suspects.iter().filter(|(_, suspect)| suspect.is_ruled_out());
+        let superseded = superseded
+            .filter(|(_, suspect)| culprits.iter().any(|culprit| culprit.supersedes(suspect)));
+        let superseded =
+            superseded.filter_map(|(request, suspect)| Some((*request, suspect.ruling?)));
+        let superseded: Vec<(Fingerprint, Ruling)> = superseded.collect();
+        for (request, ruling) in &superseded {
+            let at = unix_ms.max(ruling.at + 1);
+            self.put_in_force(*request, Ruling { at, verdict: Verdict::Lifted }, now, unix_ms);
         }
-        outdone.into_iter().map(|(request, _)| request).collect()
+        superseded.into_iter().map(|(request, _)| request).collect()
     }
 
-    /// Notes that an endpoint ended, whatever ran there. Takes strikes back that chance explains: those at
-    /// one of many endpoints that ended together.
+    /// Records that an endpoint went down, whatever ran there. Excuses requests with a strike from
+    /// just one of many endpoints that went down together.
     pub fn ended(&mut self, endpoint: Tag, now: Millis) {
-        self.suspects.values_mut().for_each(|it| it.witness(endpoint, now));
-        self.ended.retain(|(_, at)| now.since(*at) < TOGETHER);
-        if self.ended.iter().all(|it| it.0 != endpoint) {
-            self.ended.push((endpoint, now));
+        self.suspects.values_mut().for_each(|suspect| suspect.record_crash_nearby(endpoint, now));
+        self.recent_crashes.retain(|(_, at)| now.since(*at) < TOGETHER);
+        if self.recent_crashes.iter().all(|crash| crash.0 != endpoint) {
+            self.recent_crashes.push((endpoint, now));
         }
-        self.excuse_chance();
+        self.excuse_coincidences();
     }
 
-    fn excuse_chance(&mut self) {
-        if self.ended.len() < MANY {
+    fn excuse_coincidences(&mut self) {
+        if self.recent_crashes.len() < JOINT_CRASHES {
             return;
         }
-        let ended: Vec<Tag> = self.ended.iter().map(|it| it.0).collect();
-        for suspect in self.suspects.values_mut().filter(|it| it.ruling.is_none()) {
-            let here = suspect.strikes.iter().filter(|it| ended.contains(it)).count();
-            if here == 1 {
-                suspect.excuse(&ended);
+        let crashed: Vec<Tag> = self.recent_crashes.iter().map(|crash| crash.0).collect();
+        for suspect in self.suspects.values_mut().filter(|suspect| suspect.ruling.is_none()) {
+            let strikes =
+                suspect.strikes.iter().filter(|endpoint| crashed.contains(endpoint)).count();
+            if strikes == 1 {
+                suspect.excuse(&crashed);
             }
         }
     }
 
     /// Shuts a request out; false if there is no room for a ruling.
-    fn shut(&mut self, request: Fingerprint, now: Millis, unix: u64) -> bool {
-        self.decide(request, Ruling { at: unix, verdict: Verdict::Shut }, now, unix)
+    fn shut_out(&mut self, request: Fingerprint, now: Millis, unix_ms: u64) -> bool {
+        self.put_in_force(request, Ruling { at: unix_ms, verdict: Verdict::Shut }, now, unix_ms)
     }
 
-    /// Puts a ruling of this node in force, and has it told and written; false if there is no room for it.
-    fn decide(&mut self, request: Fingerprint, ruling: Ruling, now: Millis, unix: u64) -> bool {
-        if !self.rule(request, ruling, now, unix) {
+    /// Puts a ruling of this node into force and queues it for other nodes and the store; false if
+    /// there is no room for it.
+    fn put_in_force(
+        &mut self,
+        request: Fingerprint,
+        ruling: Ruling,
+        now: Millis,
+        unix_ms: u64,
+    ) -> bool {
+        if !self.merge(request, ruling, now, unix_ms) {
             return false;
         }
         self.unsaved.insert(request, Unsaved { since: now, own: true });
-        self.words.push((request, Word::Ruled(ruling)));
+        self.outbox.push((request, Word::Ruled(ruling)));
         true
     }
 
-    /// Excuses all others from what a request ended that is shut out.
-    fn explain(&mut self, request: Fingerprint) {
-        let culprit = self.suspects.get(&request).filter(|it| it.ruled_out());
-        let Some(ended) = culprit.map(|it| it.strikes.clone()) else {
+    /// Attributes crashes under a request that is shut out to that request, and so takes them back
+    /// from all others.
+    fn attribute_crashes(&mut self, request: Fingerprint) {
+        let culprit = self.suspects.get(&request).filter(|suspect| suspect.is_ruled_out());
+        let Some(crashed) = culprit.map(|suspect| suspect.strikes.clone()) else {
             return;
         };
-        let others = self.suspects.iter_mut().filter(|(it, _)| **it != request);
-        let others = others.filter(|(_, other)| !other.ruled_out());
-        others.for_each(|(_, other)| other.share(&ended));
+        let others = self.suspects.iter_mut().filter(|(fingerprint, _)| **fingerprint != request);
+        let others = others.filter(|(_, other)| !other.is_ruled_out());
+        others.for_each(|(_, other)| other.attribute(&crashed));
     }
 
-    /// Holds against a request what was taken for another one's that it outdoes: that one ran beside it, and was only
-    /// struck first. Else the culprit goes on to end three more.
-    fn restore(&mut self, request: Fingerprint) {
+    /// Turns crashes attributed to other requests into strikes again if a request supersedes one of
+    /// these: that one ran next to it and only reached the number of strikes first. Otherwise the
+    /// culprit would go on to crash three more endpoints.
+    fn restore_attributed(&mut self, request: Fingerprint) {
         let Some(suspect) = self.suspects.get(&request) else {
             return;
         };
-        let others = self.suspects.iter().filter(|(it, _)| **it != request);
-        let mut shut = others.filter(|(_, other)| other.ruled_out());
-        let outdoes = shut.any(|(_, other)| suspect.outdoes(other));
-        if outdoes && let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.restore();
+        let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != request);
+        let mut shut = others.filter(|(_, other)| other.is_ruled_out());
+        let supersedes = shut.any(|(_, other)| suspect.supersedes(other));
+        if supersedes && let Some(suspect) = self.suspects.get_mut(&request) {
+            suspect.restore_attributed();
         }
     }
 
-    /// Forgets a request that ran well; true if anything was held against it.
+    /// Forgets a request that ran well; true if there was an entry for it.
     pub fn clear(&mut self, request: Fingerprint) -> bool {
-        let Some(suspect) = self.suspects.get(&request).filter(|it| it.ruling.is_none()) else {
+        let Some(suspect) = self.suspects.get(&request).filter(|suspect| suspect.ruling.is_none())
+        else {
             return false;
         };
-        if suspect.told {
-            self.words.push((request, Word::Cleared));
+        if suspect.announced {
+            self.outbox.push((request, Word::Cleared));
         }
         self.suspects.remove(&request);
         true
     }
 
-    /// Takes another node's word.
+    /// Applies an update from another node. Returns whether it was a new ruling.
     pub fn hear(
         &mut self,
         from: Tag,
         request: Fingerprint,
-        word: Word,
+        update: Word,
         now: Millis,
-        unix: u64,
+        unix_ms: u64,
     ) -> bool {
-        match word {
+        match update {
             Word::Struck(endpoints) => {
-                self.hear_struck(request, &endpoints, now);
-                // The last one is new; those before were told when they ended.
+                self.apply_strikes(request, &endpoints, now);
+                // The last crash is new; the earlier ones were reported when they happened.
                 if let Some(last) = endpoints.last() {
                     self.ended(*last, now);
                 }
             }
-            Word::Known(endpoints) => self.hear_struck(request, &endpoints, now),
+            Word::Known(endpoints) => self.apply_strikes(request, &endpoints, now),
             Word::Tried(endpoint) => {
                 if let Some(suspect) = self.suspects.get_mut(&request) {
-                    suspect.trial = Some(Trial { by: from, endpoint, until: now + TRIAL });
+                    suspect.trial = Some(Trial { by: from, endpoint, until: now + TRIAL_MS });
                 }
             }
             Word::Rested => {
                 let suspect = self.suspects.get_mut(&request);
-                if let Some(suspect) = suspect.filter(|it| it.trial.is_some_and(|it| it.by == from))
+                if let Some(suspect) =
+                    suspect.filter(|known| known.trial.is_some_and(|trial| trial.by == from))
                 {
-                    suspect.rest(now);
+                    suspect.end_trial(now);
                 }
             }
             Word::Cleared => {
-                let innocent = self.suspects.get(&request).is_some_and(|it| it.ruling.is_none());
-                if innocent {
+                let unruled =
+                    self.suspects.get(&request).is_some_and(|suspect| suspect.ruling.is_none());
+                if unruled {
                     self.suspects.remove(&request);
                 }
             }
-            Word::Ruled(ruling) => return self.take(request, ruling, now, unix),
+            Word::Ruled(ruling) => return self.take(request, ruling, now, unix_ms),
         }
         false
     }
 
-    fn hear_struck(&mut self, request: Fingerprint, endpoints: &[Tag], now: Millis) {
+    fn apply_strikes(&mut self, request: Fingerprint, endpoints: &[Tag], now: Millis) {
         if !self.suspects.contains_key(&request) && !self.has_room() {
             return;
         }
         let suspect = self.suspects.entry(request).or_default();
-        endpoints.iter().for_each(|it| {
-            suspect.strike(*it);
+        endpoints.iter().for_each(|endpoint| {
+            suspect.add_strike(*endpoint);
         });
-        (suspect.told, suspect.at, suspect.last_seen) = (true, now, false);
-        self.restore(request);
-        self.explain(request);
+        (suspect.announced, suspect.last_strike_at, suspect.saw_last_strike) = (true, now, false);
+        self.restore_attributed(request);
+        self.attribute_crashes(request);
     }
 
     fn has_room(&self) -> bool {
-        self.suspects.len() < MOST_SUSPECTS
+        self.suspects.len() < MAX_SUSPECTS
     }
 
-    /// Takes a ruling of another node or of the store; true if it is new.
-    pub fn take(&mut self, request: Fingerprint, ruling: Ruling, now: Millis, unix: u64) -> bool {
-        let new = self.rule(request, ruling, now, unix);
+    /// Applies a ruling of another node or of the store; true if it is new.
+    pub fn take(
+        &mut self,
+        request: Fingerprint,
+        ruling: Ruling,
+        now: Millis,
+        unix_ms: u64,
+    ) -> bool {
+        let new = self.merge(request, ruling, now, unix_ms);
         if new {
             self.unsaved.insert(request, Unsaved { since: now, own: false });
         }
         new
     }
 
-    /// Puts a ruling in force, unless a later one is known or there are too many.
-    fn rule(&mut self, request: Fingerprint, ruling: Ruling, now: Millis, unix: u64) -> bool {
-        let known = self.suspects.get(&request).and_then(|it| it.ruling);
-        let full = known.is_none() && self.ruled >= MOST_RULINGS;
-        if full || ruling.over(unix) || known.is_some_and(|it| it >= ruling) {
+    /// Puts a ruling into force, unless a later one is known or there are too many.
+    fn merge(&mut self, request: Fingerprint, ruling: Ruling, now: Millis, unix_ms: u64) -> bool {
+        let known = self.suspects.get(&request).and_then(|suspect| suspect.ruling);
+        let full = known.is_none() && self.ruling_count >= MAX_RULINGS;
+        if full || ruling.over(unix_ms) || known.is_some_and(|known| known >= ruling) {
             return false;
         }
         let suspect = self.suspects.entry(request).or_default();
         suspect.ruling = Some(ruling);
-        suspect.at = now;
+        suspect.last_strike_at = now;
         suspect.trial = None;
         if ruling.verdict == Verdict::Lifted {
             suspect.excused.append(&mut suspect.strikes);
-            suspect.excused.append(&mut suspect.shared);
+            suspect.excused.append(&mut suspect.attributed);
         }
-        self.explain(request);
-        self.count();
+        self.attribute_crashes(request);
+        self.update_digest();
         true
     }
 
-    /// Notes that the store has a ruling.
+    /// Records that the store has a ruling.
     pub fn saved(&mut self, request: Fingerprint, ruling: Ruling) {
-        let known = self.suspects.get(&request).and_then(|it| it.ruling);
-        if known.is_none_or(|it| it <= ruling) {
+        let known = self.suspects.get(&request).and_then(|suspect| suspect.ruling);
+        if known.is_none_or(|known| known <= ruling) {
             self.unsaved.remove(&request);
         }
     }
 
-    /// Rulings to be written to the store: those made here at once, those heard of after a while, if this
-    /// node is to look after them.
+    /// Rulings to write to the store: this node's own at once, those of other nodes `after` a time
+    /// in milliseconds if this node is responsible for them.
     pub fn unsaved(&self, now: Millis, after: Option<u64>) -> Vec<(Fingerprint, Ruling)> {
-        let due = |it: &Unsaved| it.own || after.is_some_and(|after| now.since(it.since) >= after);
-        let unsaved = self.unsaved.iter().filter(|(_, it)| due(it));
-        let rulings = unsaved.filter_map(|(it, _)| Some((*it, self.suspects.get(it)?.ruling?)));
+        let due = |entry: &Unsaved| {
+            entry.own || after.is_some_and(|after| now.since(entry.since) >= after)
+        };
+        let unsaved = self.unsaved.iter().filter(|(_, entry)| due(entry));
+        let rulings = unsaved
+            .filter_map(|(request, _)| Some((*request, self.suspects.get(request)?.ruling?)));
         rulings.collect()
     }
 
-    /// What a node that starts is to know of requests that are not ruled on.
+    /// Strikes of requests without a ruling, for a node that starts.
     pub fn known(&self) -> Vec<(Fingerprint, Word)> {
-        let suspects = self.suspects.iter().filter(|(_, it)| it.told && it.ruling.is_none());
-        let struck = suspects.filter(|(_, it)| !it.strikes.is_empty());
-        struck.map(|(request, it)| (*request, Word::Known(it.strikes.clone()))).collect()
+        let suspects = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| suspect.announced && suspect.ruling.is_none());
+        let struck = suspects.filter(|(_, suspect)| !suspect.strikes.is_empty());
+        struck.map(|(request, suspect)| (*request, Word::Known(suspect.strikes.clone()))).collect()
     }
 
     /// All rulings.
     pub fn rulings(&self) -> impl Iterator<Item = (Fingerprint, Ruling)> {
-        self.suspects.iter().filter_map(|(request, it)| Some((*request, it.ruling?)))
+        self.suspects.iter().filter_map(|(request, suspect)| Some((*request, suspect.ruling?)))
     }
 
-    /// Digest of all rulings, by which nodes find that theirs differ; zero without any.
+    /// Digest of all rulings, by which nodes detect that theirs differ; zero without any.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    fn count(&mut self) {
-        let rows = self.rulings().map(|(request, ruling)| ruling.row(request));
-        let (digest, ruled) = rows.fold((0, 0), |(digest, ruled), row| (digest ^ row, ruled + 1));
-        (self.digest, self.ruled) = (digest, ruled);
+    fn update_digest(&mut self) {
+        let hashes = self.rulings().map(|(request, ruling)| ruling.hash(request));
+        let (digest, ruling_count) =
+            hashes.fold((0, 0), |(digest, count), hash| (digest ^ hash, count + 1));
+        (self.digest, self.ruling_count) = (digest, ruling_count);
     }
 
-    /// Has others told something.
-    pub fn tell(&mut self, request: Fingerprint, word: Word) {
-        self.words.push((request, word));
+    /// Queues an update for other nodes.
+    pub fn tell(&mut self, request: Fingerprint, update: Word) {
+        self.outbox.push((request, update));
     }
 
-    /// What others are still to be told.
+    /// Takes the queued updates for other nodes.
     pub fn words(&mut self) -> Vec<(Fingerprint, Word)> {
-        std::mem::take(&mut self.words)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// Requests that are shut out.
+    /// Number of requests that are shut out.
     pub fn shut_count(&self) -> usize {
-        self.suspects.iter().filter(|(request, it)| self.is_shut(**request, it)).count()
+        self.suspects
+            .iter()
+            .filter(|(request, suspect)| self.is_shut_out(**request, suspect))
+            .count()
     }
 
-    /// Forgets what is over, and returns which requests. One that was shut out is on parole: its next crash shuts it out
-    /// again.
-    pub fn expire(&mut self, now: Millis, unix: u64) -> Vec<Fingerprint> {
+    /// Drops expired entries and returns their requests. A request whose ruling expires keeps all
+    /// strikes but one, so its next crash shuts it out again.
+    pub fn expire(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
         for suspect in self.suspects.values_mut() {
-            if suspect.ruling.take_if(|it| it.over(unix)).is_some() {
+            if suspect.ruling.take_if(|ruling| ruling.over(unix_ms)).is_some() {
                 suspect.strikes.truncate(SHUT_AT - 1);
-                suspect.at = now;
+                suspect.last_strike_at = now;
             }
         }
-        let over = |it: &Suspect| {
-            let kept = match (it.strikes.is_empty(), it.shared.is_empty()) {
-                (false, _) => SUSPECTED,
-                (true, false) => SHARED,
-                (true, true) => EXCUSED,
+        let expired = |suspect: &Suspect| {
+            let ttl_ms = match (suspect.strikes.is_empty(), suspect.attributed.is_empty()) {
+                (false, _) => STRIKE_TTL_MS,
+                (true, false) => ATTRIBUTED_TTL_MS,
+                (true, true) => EXCUSED_TTL_MS,
             };
-            it.ruling.is_none() && now.since(it.at) >= kept
+            suspect.ruling.is_none() && now.since(suspect.last_strike_at) >= ttl_ms
         };
-        let forgotten =
-            self.suspects.iter().filter(|(_, it)| over(it)).map(|(request, _)| *request);
-        let forgotten: Vec<Fingerprint> = forgotten.collect();
-        self.suspects.retain(|_, it| !over(it));
+        let removed = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| expired(suspect))
+            .map(|(request, _)| *request);
+        let removed: Vec<Fingerprint> = removed.collect();
+        self.suspects.retain(|_, suspect| !expired(suspect));
         self.unsaved.retain(|request, _| self.suspects.contains_key(request));
-        self.count();
-        forgotten
+        self.update_digest();
+        removed
     }
 }
--- a/crates/coordination/src/quota.rs
+++ b/crates/coordination/src/quota.rs
@@ -1,15 +1,19 @@
-//! How much of a limit may still be used, over all nodes together: an organisation's, or one that an endpoint names.
+//! Distributed enforcement of limits over all nodes together: of organisations, and of rates that
+//! endpoints name.
 //!
-//! Load pattern: hundreds of nodes see a request or less a second of each organisation, until one of them sends
-//! seven times its usual. No node sees the whole, and an even share is less than one request. So each
-//! organisation has an owner, a node that all ask before a request runs; it keeps one token bucket, and the
-//! answer takes a round trip of some milliseconds. What never ran is given back.
+//! Load pattern: hundreds of nodes each see a request per second or less of each organisation,
+//! until one organisation sends seven times its usual load. No node sees the whole, and an even
+//! share is less than one request. So each organisation has an owner, a node that all others ask
+//! before a request runs. The owner keeps one token bucket, and its answer takes a round trip of
+//! some milliseconds. Cost of requests that never ran is refunded.
 //!
-//! Reasons for the limits: a bucket begins empty, since its owner may have restarted, and what was used before
-//! counts too; so however often owners change, a window holds one bucket at most besides what comes in. What was used in
-//! a sliding window would let through larger bursts, but a new owner does not know when they were. An owner that sees a part of the fleet hands out that part, and below half of it nothing: the
-//! others may ask one whom it can't see. A node that gets no answer uses its even share. So what the
-//! parts of a divided fleet hand out sums to the limit, and their overdrafts to less than what is borne.
+//! Reasons for the rules: a bucket starts empty, since its owner may have restarted, and usage
+//! before that counts too. So however often owners change, a window holds at most one bucket in
+//! addition to the rate. A sliding window log would allow larger bursts, but a new owner does not
+//! have its history. An owner that sees only a part of the fleet grants only that part of the
+//! limit, and nothing if it sees less than half: the others may ask an owner that it can't see. A
+//! node that gets no answer uses its even share. So the grants of the parts of a partitioned fleet
+//! sum to the limit, and their overdrafts to less than the tolerance.
 
 use crosslane_state::endpoint::Tag;
 use crosslane_state::hash;
@@ -18,82 +22,84 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Part of what is borne beyond a limit that is granted on top of the burst: callers of many organisations come
-/// in bursts of twice the usual for some seconds, which a limit counted over a window lets through. In a simulation
-/// of fleets at seven times the usual the largest use in a window stays at 0.96 of the bound; no gain is shown.
-const ON_TOP: f64 = 0.6;
+/// Part of the tolerance that is added to the burst. Callers of many organisations send bursts of
+/// twice the usual load for some seconds, which a limit counted over a window lets through. With
+/// fleets at seven times the usual load the highest usage in a window stays at 0.96 of the bound.
+const BURST_TOLERANCE: f64 = 0.6;
 
-/// Part of it that an owner may overdraw, so that its first requests are not refused. Even shares together
-/// overdraw another such part; the rest is for two owners at a time.
+/// Part of the tolerance that an owner may overdraw, so that its first requests are not refused.
+/// Even shares together may overdraw the same again; the rest is for the time in which a limit has
+/// two owners.
 const OVERDRAFT: f64 = 0.1;
 
-/// Least share of the fleet that an owner must see.
-const QUORUM: f64 = 0.5;
+/// Smallest share of the fleet that an owner must see.
+const MIN_FLEET_SHARE: f64 = 0.5;
 
-/// Shortest wait that is advised, in milliseconds: what comes back sooner finds the same.
-const SHORTEST_WAIT: u64 = 150;
+/// Shortest wait that is advised, in milliseconds: a request that is retried sooner finds no more
+/// room.
+const MIN_WAIT_MS: u64 = 150;
 
-/// Longest wait that is advised, in milliseconds: callers heed an advice up to a third of the time that they
-/// have, at most some 4.5 s.
-const LONGEST_WAIT: u64 = 4_000;
+/// Longest wait that is advised, in milliseconds. Callers follow an advised wait up to a third of
+/// their remaining time, at most some 4.5 s.
+const MAX_WAIT_MS: u64 = 4_000;
 
-/// Nodes that are asked one after the other, until one answers.
-const OWNERS: usize = 3;
+/// Number of nodes that are asked one after the other until one answers.
+const MAX_OWNERS: usize = 3;
 
-/// Time after which an unused bucket is forgotten, in milliseconds: long after it is full again.
-const IDLE: u64 = 600_000;
+/// Time after which an unused bucket is dropped, in milliseconds; it is full long before.
+const BUCKET_TTL_MS: u64 = 600_000;
 
-/// Answers missed in a row after which an owner is passed over. One may just be lost, and to ask the next owner for a second
-/// then has two of them grant the limit at a time.
-const MISSED: u32 = 2;
+/// Consecutive unanswered queries after which an owner is skipped. A single one may just be lost,
+/// and asking the next owner for a second then has two owners grant the limit at a time.
+const MISSES_TO_SKIP: u32 = 2;
 
-/// Time for which an owner that does not answer is passed over, in milliseconds: that after which a heartbeat
-/// tells whether it lives.
-const PASSED_OVER: u64 = 1_000;
+/// Time for which an unresponsive owner is skipped, in milliseconds; after it a heartbeat shows
+/// whether it is alive.
+const SKIP_MS: u64 = 1_000;
 
-/// Answers that a node misses from an owner.
+/// Unanswered queries to one owner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Misses {
-    missed: u32,
-    at: Millis,
+    count: u32,
+    last_at: Millis,
 }
 
 impl Misses {
-    /// Notes that a question was not answered.
+    /// Counts an unanswered query.
     pub fn miss(&mut self, now: Millis) {
-        self.missed += 1;
-        self.at = now;
+        self.count += 1;
+        self.last_at = now;
     }
 
-    /// Whether it lies so far back that it says nothing any more.
+    /// Whether the last one was so long ago that it means nothing any more.
     pub fn forgotten(&self, now: Millis) -> bool {
-        now.since(self.at) >= PASSED_OVER * u64::from(MISSED)
+        now.since(self.last_at) >= SKIP_MS * u64::from(MISSES_TO_SKIP)
     }
 
-    /// Whether the owner is passed over.
+    /// Whether the owner is skipped.
     pub fn passed_over(&self, now: Millis) -> bool {
-        self.missed >= MISSED && now.since(self.at) < PASSED_OVER
+        self.count >= MISSES_TO_SKIP && now.since(self.last_at) < SKIP_MS
     }
 }
 
-/// How far all nodes together may be over a limit.
+/// Tolerance: how far usage by all nodes together may exceed a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bound {
-    /// Window in which use counts, in milliseconds.
+    /// Window over which usage is counted, in milliseconds.
     pub window: u64,
-    /// Share of the limit.
+    /// Tolerated excess as a share of what the limit allows.
     pub overage: f64,
-    /// In the limit's unit.
+    /// Further excess, in the limit's unit.
     pub slack: f64,
 }
 
 impl Bound {
-    /// Use in a window that is within a limit.
+    /// Usage in a window that is within a limit.
     pub fn allowed(&self, limit: Limit) -> f64 {
         self.earned(limit) + limit.burst
     }
 
-    /// Use in a window beyond a limit that is borne.
+    /// Tolerated usage in a window beyond a limit.
     pub fn spare(&self, limit: Limit) -> f64 {
         self.allowed(limit) * self.overage + self.slack
     }
@@ -103,49 +109,49 @@
     }
 }
 
-/// A request that is to run.
+/// A request's charge against a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
-    /// Whose limit it counts against.
+    /// Whose limit it is.
     pub subject: Tag,
     /// The limit.
     pub limit: Limit,
-    /// What the request costs, in the limit's unit.
+    /// Cost of the request, in the limit's unit.
     pub cost: u32,
-    /// A number drawn from 0 to 1.
+    /// A random number from 0 to 1.
     pub draw: f64,
 }
 
 /// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may.
+    /// It may run.
     Granted,
-    /// It is over the limit.
+    /// It would exceed the limit.
     Over {
         /// Time until there should be room, in milliseconds.
         wait: u64,
     },
-    /// Whoever was asked sees too little of the fleet, or does not know the limit.
+    /// The owner sees too little of the fleet, or does not know the limit.
     Unsure,
 }
 
-/// What is left of one limit; below zero, what was overdrawn.
+/// Token bucket of one limit; a level below zero is an overdraft.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
-    at: Millis,
+    refilled_at: Millis,
 }
 
 impl Bucket {
-    fn refill(&mut self, rate: f64, most: f64, now: Millis) {
-        let gained = rate * now.since(self.at) as f64 / 1_000.0;
-        self.level = (self.level + gained).min(most);
-        self.at = now;
+    fn refill(&mut self, rate: f64, capacity: f64, now: Millis) {
+        let gained = rate * now.since(self.refilled_at) as f64 / 1_000.0;
+        self.level = (self.level + gained).min(capacity);
+        self.refilled_at = now;
     }
 }
 
-/// Limits for which a node is asked, or of which it uses its even share.
+/// Token buckets of the limits that this node owns, or of its even shares.
 #[derive(Debug)]
 pub struct Quota {
     bound: Bound,
@@ -153,71 +159,73 @@
 }
 
 impl Quota {
-    /// Nothing used yet.
+    /// Starts without any buckets.
     pub fn new(bound: Bound) -> Self {
         Self { bound, buckets: HashMap::new() }
     }
 
-    /// Begins to count against a limit: its bucket fills from now on, and not only from the first request.
+    /// Creates a limit's bucket if there is none, so that it fills from now on and not only from
+    /// the first request.
     pub fn begin(&mut self, subject: Tag, now: Millis) {
-        self.buckets.entry(subject).or_insert(Bucket { level: 0.0, at: now });
+        self.buckets.entry(subject).or_insert(Bucket { level: 0.0, refilled_at: now });
     }
 
-    /// Rules on a request as the owner, who sees a share of the fleet.
-    pub fn rule(&mut self, ask: Ask, share: f64, now: Millis) -> Verdict {
-        if share < QUORUM {
+    /// Decides as the owner, which sees `share` of the fleet.
+    pub fn rule(&mut self, charge: Ask, share: f64, now: Millis) -> Verdict {
+        if share < MIN_FLEET_SHARE {
             return Verdict::Unsure;
         }
-        self.take(ask, share, f64::from(ask.cost), now)
+        self.try_spend(charge, share, f64::from(charge.cost), now)
     }
 
-    /// Rules on a request with an even share, of which a request may be more than all: it is let through
-    /// with the chance that makes the mean right.
-    pub fn rule_alone(&mut self, ask: Ask, share: f64, now: Millis) -> Verdict {
-        self.take(ask, share, f64::from(ask.cost) * ask.draw, now)
+    /// Decides by an even share, which may be less than the cost of one request. So a request
+    /// passes with the probability that makes the mean right.
+    pub fn rule_alone(&mut self, charge: Ask, share: f64, now: Millis) -> Verdict {
+        self.try_spend(charge, share, f64::from(charge.cost) * charge.draw, now)
     }
 
-    fn take(&mut self, ask: Ask, share: f64, needed: f64, now: Millis) -> Verdict {
-        let Ask { subject, limit, cost, draw } = ask;
+    fn try_spend(&mut self, charge: Ask, share: f64, needed: f64, now: Millis) -> Verdict {
+        let Ask { subject, limit, cost, draw } = charge;
         let cost = f64::from(cost);
         let rate = limit.rate * share;
         let spare = self.bound.spare(limit) * share;
         let overdraft = spare * OVERDRAFT;
-        // A share of the burst may be less than the request; it may then be saved up within a window.
-        let burst = limit.burst * share + spare * ON_TOP;
-        let most = burst.max(cost.min(self.bound.earned(limit) * share));
-        let bucket = self.buckets.entry(subject).or_insert(Bucket { level: 0.0, at: now });
-        bucket.refill(rate, most, now);
-        let lacking = needed - bucket.level - overdraft;
-        if lacking > 0.0 {
-            return Verdict::Over { wait: wait(lacking / rate, draw) };
+        // A share of the burst may be less than the cost; then the cost can be saved up within a
+        // window.
+        let burst = limit.burst * share + spare * BURST_TOLERANCE;
+        let capacity = burst.max(cost.min(self.bound.earned(limit) * share));
+        let bucket = self.buckets.entry(subject).or_insert(Bucket { level: 0.0, refilled_at: now });
+        bucket.refill(rate, capacity, now);
+        let missing = needed - bucket.level - overdraft;
+        if missing > 0.0 {
+            return Verdict::Over { wait: wait_ms(missing / rate, draw) };
         }
         bucket.level -= cost;
         Verdict::Granted
     }
 
-    /// Takes back what a request was granted that never ran.
+    /// Refunds the cost of a request that was granted and never ran.
     pub fn give_back(&mut self, subject: Tag, cost: u32) {
         if let Some(bucket) = self.buckets.get_mut(&subject) {
             bucket.level += f64::from(cost);
         }
     }
 
-    /// Forgets buckets that are not used any more.
+    /// Drops buckets that are no longer used.
     pub fn expire(&mut self, now: Millis) {
-        self.buckets.retain(|_, it| now.since(it.at) < IDLE);
+        self.buckets.retain(|_, bucket| now.since(bucket.refilled_at) < BUCKET_TTL_MS);
     }
 }
 
-/// Nodes that may rule on a limit, first choice first, of nodes with their tags. One that comes
-/// or goes moves few limits.
+/// Nodes that may decide on a limit, in order of preference. A node that joins or leaves moves few
+/// limits.
 pub fn owners<T: Ord>(subject: Tag, nodes: impl Iterator<Item = (Tag, T)>) -> Vec<T> {
     let mut owners = ranked(subject, nodes);
-    owners.truncate(OWNERS);
+    owners.truncate(MAX_OWNERS);
     owners
 }
 
-/// Nodes by their weight for a limit, the highest first.
+/// Nodes by their rendezvous weight for a limit, the highest first.
 pub fn ranked<T: Ord>(subject: Tag, nodes: impl Iterator<Item = (Tag, T)>) -> Vec<T> {
     let mut ranked: Vec<_> =
         nodes.map(|(tag, node)| (hash::weight(subject.0, tag.0), node)).collect();
@@ -225,9 +233,9 @@
     ranked.into_iter().map(|(_, node)| node).collect()
 }
 
-/// When to come back, after what is lacking has come in so many seconds. Spread over as long again, since
-/// those who were refused together would else come back together.
-fn wait(seconds: f64, draw: f64) -> u64 {
+/// Wait in milliseconds until `seconds` have passed. A random part of up to the same length is
+/// added, since requests that were refused together would otherwise be retried together.
+fn wait_ms(seconds: f64, draw: f64) -> u64 {
     let millis = seconds * 1_000.0 * (1.0 + draw);
-    (millis as u64).clamp(SHORTEST_WAIT, LONGEST_WAIT)
+    (millis as u64).clamp(MIN_WAIT_MS, MAX_WAIT_MS)
 }
--- a/crates/coordination/src/silence.rs
+++ b/crates/coordination/src/silence.rs
@@ -1,29 +1,32 @@
-//! When an endpoint that sends nothing counts as silent.
+//! When an endpoint that sends nothing counts as stalled.
 //!
-//! A silent endpoint is not a dead one: an engine whose memory runs out puts runs off and goes on with them
-//! later, and a busy one is merely slow. So a silence never ends an attempt by itself. It is the moment to look
-//! for another endpoint, and only once that one is sure to take the request is the first one given up.
+//! A stalled endpoint need not be dead: an engine that runs out of memory suspends runs and
+//! continues them later, and a busy one is just slow. So a stall never ends an attempt by itself.
+//! It starts the search for another endpoint, and the first one is given up only once the other is
+//! sure to take the request.
 //!
-//! A silence is made of several pauses, each with a timer of its own, and a pause counts once however long it
-//! was. A node that stood still for seconds finds its timer due before it has read what came meanwhile, so one
-//! timer for the whole silence would take its own standstill for the endpoint's.
+//! A stall consists of several timeouts in a row, each with a timer of its own, and a timeout
+//! counts once however long it took. When this node itself was paused for seconds, its timer fires
+//! before the node has read what arrived meanwhile; one timer for the whole stall would take that
+//! pause for a stall of the endpoint.
 
-/// Pauses in a row that make a silence.
+/// Counter of consecutive timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    needed: u32,
-    pauses: u32,
+    threshold: u32,
+    timeouts: u32,
 }
 
 impl Silence {
-    /// A silence of so many pauses; a new one begins with whatever comes.
-    pub fn of(needed: u32) -> Self {
-        Self { needed, pauses: 0 }
+    /// Starts to count towards a stall of `needed` timeouts. A new counter is created with each
+    /// output.
+    pub fn of(threshold: u32) -> Self {
+        Self { threshold, timeouts: 0 }
     }
 
-    /// Notes a pause; true if a silence is full with it, and again after as many more.
+    /// Counts a timeout; true if it completes a stall, and again after as many more.
     pub fn pause(&mut self) -> bool {
-        self.pauses += 1;
-        self.pauses.is_multiple_of(self.needed)
+        self.timeouts += 1;
+        self.timeouts.is_multiple_of(self.threshold)
     }
 }
--- a/crates/coordination/src/suspect.rs
+++ b/crates/coordination/src/suspect.rs
@@ -1,169 +1,184 @@
-//! What is held against one request.
+//! Crashes that are known of one request.
 
 use crate::ruling::{Ruling, Verdict};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::time::Millis;
 
-/// Strikes that shut a request out. A second crash may be chance; among 40 engines of which 30 crash in 10 s
-/// three in a row hit one request in 150,000 (worked out).
+/// Number of strikes that shut a request out. A second crash may be coincidence; with 40 engines of
+/// which 30 crash within 10 s, three in a row hit one request in 150,000.
 pub const SHUT_AT: usize = 3;
 
-/// Endpoints that ended with a request there, from which on it may explain what is held against another one: that it
-/// was at one is chance where many run.
-const EXPLAINS_AT: usize = 2;
+/// Number of crashes that a request must have been present at to be a possible cause of crashes
+/// under another one. Being present at one is coincidence where many requests run.
+const CRASHES_TO_EXPLAIN: usize = 2;
 
-/// Time within which endpoints end together, in milliseconds. Where 40 % of the engines ended every
-/// 600 ms, 17 of 2,934 innocent requests were shut out at 7 nodes and 142 of 23,817 at 61 without the rule on them, 2 and none
-/// with it (simulated, blamed for 500 ms).
+/// Time within which endpoints count as going down together, in milliseconds. Without the rule on
+/// joint crashes, where 40 % of the engines crash every 600 ms, 17 of 2,934 innocent requests are
+/// shut out at 7 nodes and 142 of 23,817 at 61 nodes (with strikes up to 500 ms after the start);
+/// with it, 2 and none.
 pub const TOGETHER: u64 = 60;
 
-/// Time after a last strike in which the node that saw it rules, before others do, in milliseconds.
-const LEFT_TO_OTHERS: u64 = 500;
+/// Delay after the last strike before a node rules that saw an earlier strike but not the last one,
+/// in milliseconds.
+const WITNESS_DELAY_MS: u64 = 500;
 
-/// The same, before nodes rule that only heard of strikes: whoever saw them may have ended with them.
-const LEFT_TO_WITNESSES: u64 = 1_000;
+/// Delay before a node rules that saw none of the strikes, in milliseconds: the nodes that saw them
+/// may have gone down themselves.
+const BYSTANDER_DELAY_MS: u64 = 1_000;
 
-/// Time after a run's end in which its endpoint's end may still be found, in milliseconds.
-const AFTERWARDS: u64 = 500;
+/// Time after the end of a trial in which a crash of its endpoint still counts as one it was
+/// present at, in milliseconds.
+const AFTER_TRIAL_MS: u64 = 500;
 
-/// Most endpoints remembered for each request, for what others are excused.
-const MOST_ENDPOINTS: usize = 16;
+/// Maximum number of endpoints that are remembered per request and list.
+const MAX_ENDPOINTS: usize = 16;
 
-/// A run of a suspect.
+/// A run of a suspect, of which there is one at a time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Trial {
     /// Node that runs it.
     pub by: Tag,
     pub endpoint: Tag,
-    /// Until when it keeps copies back.
+    /// When it stops holding back copies of the request.
     pub until: Millis,
 }
 
-/// What is held against a request.
+/// Crashes, trial and ruling of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspect {
-    /// Incarnations that ended under it.
+    /// Incarnations whose crash counts as a strike against it.
     pub strikes: Vec<Tag>,
-    /// Incarnations whose end has another explanation.
+    /// Incarnations that crashed under it by coincidence.
     pub excused: Vec<Tag>,
-    /// Incarnations that ended under it and under one that is shut out.
-    pub shared: Vec<Tag>,
-    /// Incarnations that ended while it was tried there.
-    pub beside: Vec<Tag>,
-    /// Its last run that is over, and when it ended.
-    pub rested: Option<(Tag, Millis)>,
-    /// Last strike.
-    pub at: Millis,
+    /// Incarnations that crashed under it and under another request, which is shut out for it.
+    pub attributed: Vec<Tag>,
+    /// Incarnations that crashed during or shortly after a trial of it there.
+    pub present_at: Vec<Tag>,
+    /// Endpoint of its last trial, and when that trial ended.
+    pub last_trial: Option<(Tag, Millis)>,
+    /// When the last strike was recorded.
+    pub last_strike_at: Millis,
     pub trial: Option<Trial>,
     pub ruling: Option<Ruling>,
-    /// Whether others were told of it.
-    pub told: bool,
-    /// Whether one of its strikes, and whether its last one, was seen by this node.
-    pub seen: bool,
-    pub last_seen: bool,
+    /// Whether other nodes were told of it.
+    pub announced: bool,
+    /// Whether this node saw any of its strikes, and whether it saw the last one.
+    pub saw_strike: bool,
+    pub saw_last_strike: bool,
 }
 
 impl Suspect {
     /// Whether a ruling shuts it out.
-    pub fn ruled_out(&self) -> bool {
-        self.ruling.is_some_and(|it| it.verdict == Verdict::Shut)
+    pub fn is_ruled_out(&self) -> bool {
+        self.ruling.is_some_and(|ruling| ruling.verdict == Verdict::Shut)
     }
 
-    /// Whether enough endpoints ended under it.
-    pub fn guilty(&self) -> bool {
+    /// Whether it has enough strikes to be shut out.
+    pub fn has_enough_strikes(&self) -> bool {
         self.strikes.len() >= SHUT_AT
     }
 
-    /// Whether it may have ended endpoints that ended under others too: it was at two at least.
-    pub fn may_explain(&self) -> bool {
-        !self.ruled_out()
+    /// Whether it may have caused crashes that also count against other requests: it was present at
+    /// two at least.
+    pub fn may_cause_crashes(&self) -> bool {
+        !self.is_ruled_out()
             && !self.strikes.is_empty()
-            && self.strikes.len() + self.beside.len() >= EXPLAINS_AT
+            && self.strikes.len() + self.present_at.len() >= CRASHES_TO_EXPLAIN
     }
 
-    /// Whether it was at an endpoint that ended.
-    pub fn was_at(&self, endpoint: Tag) -> bool {
-        self.strikes.contains(&endpoint) || self.beside.contains(&endpoint)
+    /// Whether it was present at a crash.
+    pub fn was_present_at(&self, endpoint: Tag) -> bool {
+        self.strikes.contains(&endpoint) || self.present_at.contains(&endpoint)
     }
 
-    /// Notes that an endpoint ended, if it was tried there a moment ago.
-    pub fn witness(&mut self, endpoint: Tag, now: Millis) {
-        let running = self.trial.is_some_and(|it| it.endpoint == endpoint && it.until > now);
-        let ran = |(at, since): (Tag, Millis)| at == endpoint && now.since(since) < AFTERWARDS;
-        let there = running || self.rested.is_some_and(ran);
-        if there && !self.beside.contains(&endpoint) && self.beside.len() < MOST_ENDPOINTS {
-            self.beside.push(endpoint);
+    /// Records the crash of an endpoint if its trial runs there, or ended a moment ago.
+    pub fn record_crash_nearby(&mut self, endpoint: Tag, now: Millis) {
+        let running =
+            self.trial.is_some_and(|trial| trial.endpoint == endpoint && trial.until > now);
+        let just_ended = |(place, ended_at): (Tag, Millis)| {
+            place == endpoint && now.since(ended_at) < AFTER_TRIAL_MS
+        };
+        let present = running || self.last_trial.is_some_and(just_ended);
+        if present && !self.present_at.contains(&endpoint) && self.present_at.len() < MAX_ENDPOINTS
+        {
+            self.present_at.push(endpoint);
         }
     }
 
-    /// Ends its run.
-    pub fn rest(&mut self, now: Millis) {
-        self.rested = self.trial.take().map(|it| (it.endpoint, now));
+    /// Ends its trial.
+    pub fn end_trial(&mut self, now: Millis) {
+        self.last_trial = self.trial.take().map(|trial| (trial.endpoint, now));
     }
 
-    /// Whether all that one ended which is shut out ended under this one too, and another endpoint besides.
-    pub fn outdoes(&self, shut: &Self) -> bool {
-        let here = |it: &Tag| self.strikes.contains(it) || self.shared.contains(it);
-        shut.guilty()
-            && shut.strikes.iter().all(here)
-            && self.strikes.iter().any(|it| !shut.strikes.contains(it))
+    /// Whether it was present at all the crashes that another request is shut out for, and at one
+    /// more.
+    pub fn supersedes(&self, other: &Self) -> bool {
+        let was_here =
+            |endpoint: &Tag| self.strikes.contains(endpoint) || self.attributed.contains(endpoint);
+        other.has_enough_strikes()
+            && other.strikes.iter().all(was_here)
+            && self.strikes.iter().any(|endpoint| !other.strikes.contains(endpoint))
     }
 
-    /// Takes strikes up again that were taken for another request's.
-    pub fn restore(&mut self) {
-        let shared = std::mem::take(&mut self.shared);
-        self.strikes.extend(shared);
+    /// Turns crashes that were attributed to another request into strikes again.
+    pub fn restore_attributed(&mut self) {
+        let attributed = std::mem::take(&mut self.attributed);
+        self.strikes.extend(attributed);
     }
 
-    /// Whether this node is to rule on it now: who saw the last strike, or if that node did not, who saw another,
-    /// or at last anyone. What nobody rules on is forgotten as nodes restart, and ends three endpoints more.
-    pub fn due(&self, now: Millis) -> bool {
-        self.ruling.is_none() && self.guilty() && now.since(self.at) >= self.left_to_others()
+    /// Whether this node is to rule on it now. The node that saw the last strike rules first, then
+    /// those that saw another one, then any: without a ruling the strikes are lost as nodes
+    /// restart, and the request crashes three more endpoints.
+    pub fn is_due(&self, now: Millis) -> bool {
+        self.ruling.is_none()
+            && self.has_enough_strikes()
+            && now.since(self.last_strike_at) >= self.decision_delay_ms()
     }
 
-    /// Time that this node leaves a decision on it to others which saw more, in milliseconds.
-    pub fn left_to_others(&self) -> u64 {
-        match (self.last_seen, self.seen) {
+    /// Time for which this node leaves the ruling to nodes that saw more, in milliseconds.
+    pub fn decision_delay_ms(&self) -> u64 {
+        match (self.saw_last_strike, self.saw_strike) {
             (true, _) => TOGETHER,
-            (false, true) => LEFT_TO_OTHERS,
-            (false, false) => LEFT_TO_WITNESSES,
+            (false, true) => WITNESS_DELAY_MS,
+            (false, false) => BYSTANDER_DELAY_MS,
         }
     }
 
-    /// Adds a strike; false if it was known or is excused.
-    pub fn strike(&mut self, endpoint: Tag) -> bool {
-        let known = [&self.strikes, &self.excused, &self.shared];
-        let known = known.iter().any(|it| it.contains(&endpoint));
-        if known || self.strikes.len() >= MOST_ENDPOINTS {
+    /// Adds a strike; false if the crash is known.
+    pub fn add_strike(&mut self, endpoint: Tag) -> bool {
+        let known = [&self.strikes, &self.excused, &self.attributed];
+        let known = known.iter().any(|list| list.contains(&endpoint));
+        if known || self.strikes.len() >= MAX_ENDPOINTS {
             return false;
         }
         self.strikes.push(endpoint);
         true
     }
 
-    /// Takes back strikes that chance explains.
+    /// Excuses strikes as coincidence.
     pub fn excuse(&mut self, endpoints: &[Tag]) {
-        let explained = self.take_back(endpoints);
-        self.excused.extend(explained);
-        self.excused.truncate(MOST_ENDPOINTS);
+        let removed = self.remove_strikes(endpoints);
+        self.excused.extend(removed);
+        self.excused.truncate(MAX_ENDPOINTS);
     }
 
-    /// Takes back strikes that a request explains that is shut out.
-    pub fn share(&mut self, endpoints: &[Tag]) {
-        let explained = self.take_back(endpoints);
-        explained.into_iter().for_each(|it| self.share_one(it));
+    /// Attributes strikes to another request, which is shut out.
+    pub fn attribute(&mut self, endpoints: &[Tag]) {
+        let removed = self.remove_strikes(endpoints);
+        removed.into_iter().for_each(|endpoint| self.attribute_one(endpoint));
     }
 
-    /// Notes an end that a request explains that is shut out.
-    pub fn share_one(&mut self, endpoint: Tag) {
-        if !self.shared.contains(&endpoint) && self.shared.len() < MOST_ENDPOINTS {
-            self.shared.push(endpoint);
+    /// Records a crash as attributed to another request, which is shut out.
+    pub fn attribute_one(&mut self, endpoint: Tag) {
+        if !self.attributed.contains(&endpoint) && self.attributed.len() < MAX_ENDPOINTS {
+            self.attributed.push(endpoint);
         }
     }
 
-    fn take_back(&mut self, endpoints: &[Tag]) -> Vec<Tag> {
-        let (explained, left) = self.strikes.iter().copied().partition(|it| endpoints.contains(it));
-        self.strikes = left;
-        explained
+    fn remove_strikes(&mut self, endpoints: &[Tag]) -> Vec<Tag> {
+        let (removed, kept) =
+            self.strikes.iter().copied().partition(|endpoint| endpoints.contains(endpoint));
+        self.strikes = kept;
+        removed
     }
 }
--- a/crates/coordination/src/suspicion.rs
+++ b/crates/coordination/src/suspicion.rs
@@ -1,40 +1,41 @@
-//! What is said of requests under which endpoints ended: by nodes to each other, and to whoever sends them.
+//! What nodes exchange about requests under which endpoints crashed, and the status of such a
+//! request.
 
 use crate::ruling::Ruling;
 use crosslane_state::endpoint::Tag;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// What nodes tell each other about a request.
+/// An update from one node to the others about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
-    /// These endpoints ended under it, the last one just now.
+    /// These endpoints crashed under it, the last one just now.
     Struck(Vec<Tag>),
-    /// The sender runs it at this endpoint, to see whether that ends too.
+    /// The sender runs it at this endpoint as a trial.
     Tried(Tag),
-    /// The sender runs it no longer.
+    /// The sender's trial is over without a result.
     Rested,
     /// It ran well.
     Cleared,
-    /// It was decided about.
+    /// There is a ruling on it.
     Ruled(Ruling),
-    /// These endpoints ended under it before the receiver started.
+    /// These endpoints crashed under it before the receiver started.
     Known(Vec<Tag>),
 }
 
-/// What an endpoint's end says of a request that had just begun there.
+/// How a crash is counted for a request that had just started at the endpoint.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Strike {
-    /// It is held against the request, as so many are by now.
+    /// As a strike; the request has this many by now.
     #[display("held")]
     Held(usize),
     /// It is counted already.
     #[display("known")]
     Known,
-    /// A request that is shut out explains it.
+    /// It is attributed to another request, which is shut out.
     #[display("another request is shut out for it")]
     Explained,
-    /// Many endpoints ended together.
+    /// Many endpoints went down together.
     #[display("many endpoints ended together")]
     Chance,
     /// There is no room for another suspect.
@@ -42,15 +43,15 @@
     Full,
 }
 
-/// How a request stands.
+/// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is held against it.
+    /// It has no strikes.
     Free,
-    /// Endpoints ended under it; it may be tried once at a time.
+    /// It has strikes; one copy at a time may run.
     Suspect,
-    /// It is being tried by another copy.
+    /// Another copy of it is on trial.
     OnTrial,
-    /// It is shut out, still so long in milliseconds.
+    /// It is shut out for this many more milliseconds.
     Shut(u64),
 }
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -1,8 +1,8 @@
-//! What nodes have at endpoints: this one's, and the sums of what the others told.
+//! Usage of endpoints by nodes: by this node, and the sums over all others.
 //!
-//! A node hears some 130 heartbeats a second however many nodes there are, and each names some tens of
-//! endpoints. So what is told is kept by endpoint: a sum takes the few nodes that have something
-//! there, not all that there are.
+//! A node receives some 130 heartbeats per second however many nodes there are, and each names some
+//! tens of endpoints. So usage is kept by endpoint: a sum visits the few nodes that use that
+//! endpoint, not all nodes.
 
 use crate::health::Record;
 use crosslane_state::endpoint::Tag;
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// What one node has at one endpoint.
+/// Usage of one endpoint by one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Tokens of KV cache taken or being computed.
+    /// Tokens of KV cache in use or being computed.
     pub tokens: u32,
     /// Outcomes of requests.
     pub outcomes: Record,
@@ -31,59 +31,59 @@
     }
 }
 
-/// One other node.
+/// Another node.
 #[derive(Debug)]
 struct Peer {
-    /// Until when its word counts.
-    until: Millis,
-    /// Endpoints that it named.
-    named: HashSet<Tag>,
+    /// When its last heartbeat expires.
+    expires_at: Millis,
+    /// Endpoints that it reported usage of.
+    endpoints: HashSet<Tag>,
 }
 
-/// What all other nodes have at endpoints, as they last told.
+/// Usage of endpoints by all other nodes, as they last reported it.
 #[derive(Debug, Default)]
 pub struct Told {
     peers: HashMap<Tag, Peer>,
-    /// By endpoint, and by node.
+    /// By endpoint, then by node.
     usage: HashMap<Tag, HashMap<Tag, Usage>>,
 }
 
 impl Told {
-    /// Takes all that a node has, which counts until a time. Returns the endpoints whose sum may have
-    /// changed.
+    /// Replaces all usage of a node, which is valid until a time. Returns the endpoints whose sum
+    /// may have changed.
     pub fn hear(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) -> HashSet<Tag> {
         let mut changed = self.forget(peer);
-        let named: HashSet<Tag> = usage.iter().map(|it| it.0).collect();
-        for (endpoint, has) in usage {
-            self.usage.entry(endpoint).or_default().insert(peer, has);
+        let endpoints: HashSet<Tag> = usage.iter().map(|entry| entry.0).collect();
+        for (endpoint, used) in usage {
+            self.usage.entry(endpoint).or_default().insert(peer, used);
         }
-        changed.extend(&named);
-        self.peers.insert(peer, Peer { until, named });
+        changed.extend(&endpoints);
+        self.peers.insert(peer, Peer { expires_at: until, endpoints });
         changed
     }
 
-    /// Takes what a node now has at some endpoints. One that was not heard yet is heard first.
+    /// Updates a node's usage of some endpoints; false if there is no full report of that node yet.
     pub fn update(&mut self, peer: Tag, usage: &[(Tag, Usage)]) -> bool {
         let Some(known) = self.peers.get_mut(&peer) else {
             return false;
         };
-        for (endpoint, has) in usage {
-            known.named.insert(*endpoint);
-            self.usage.entry(*endpoint).or_default().insert(peer, *has);
+        for (endpoint, used) in usage {
+            known.endpoints.insert(*endpoint);
+            self.usage.entry(*endpoint).or_default().insert(peer, *used);
         }
         true
     }
 
-    /// Forgets nodes whose word counts no longer. Returns the endpoints whose sum may have changed.
+    /// Drops nodes whose report has expired. Returns the endpoints whose sum may have changed.
     pub fn expire(&mut self, now: Millis) -> HashSet<Tag> {
-        let silent = self.peers.iter().filter(|(_, it)| it.until <= now);
-        let silent: Vec<Tag> = silent.map(|(peer, _)| *peer).collect();
-        silent.into_iter().flat_map(|it| self.forget(it)).collect()
+        let expired = self.peers.iter().filter(|(_, peer)| peer.expires_at <= now);
+        let expired: Vec<Tag> = expired.map(|(peer, _)| *peer).collect();
+        expired.into_iter().flat_map(|peer| self.forget(peer)).collect()
     }
 
     fn forget(&mut self, peer: Tag) -> HashSet<Tag> {
-        let named = self.peers.remove(&peer).map(|it| it.named).unwrap_or_default();
-        for endpoint in &named {
+        let endpoints = self.peers.remove(&peer).map(|peer| peer.endpoints).unwrap_or_default();
+        for endpoint in &endpoints {
             if let Some(nodes) = self.usage.get_mut(endpoint) {
                 nodes.remove(&peer);
                 if nodes.is_empty() {
@@ -91,12 +91,12 @@
                 }
             }
         }
-        named
+        endpoints
     }
 
-    /// What all others have at an endpoint.
+    /// Sum of all other nodes' usage of an endpoint.
     pub fn sum(&self, endpoint: Tag) -> Usage {
-        let nodes = self.usage.get(&endpoint).into_iter().flat_map(HashMap::values);
-        nodes.fold(Usage::default(), |sum, it| sum.plus(*it))
+        let by_node = self.usage.get(&endpoint).into_iter().flat_map(HashMap::values);
+        by_node.fold(Usage::default(), |sum, usage| sum.plus(*usage))
     }
 }
