--- a/crates/coordination/tests/allowance.rs
+++ b/crates/coordination/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! Allowance: all nodes together stay within the retry budget, however requests fall to them.
+//! All nodes together stay within the retry budget, however requests are distributed over them.
 
 use crosslane_coordination::allowance::{Allowance, Budget};
 use crosslane_state::time::Millis;
@@ -12,7 +12,7 @@
 struct Case {
     name: &'static str,
     nodes: usize,
-    /// Share of requests that fall to the first node, in percent.
+    /// Share of requests that go to the first node, in percent.
     skew: u32,
 }
 
@@ -20,25 +20,25 @@
 #[case(Case { name: "even", nodes: 8, skew: 12 })]
 #[case(Case { name: "nearly all at one node", nodes: 8, skew: 90 })]
 #[case(Case { name: "one node", nodes: 1, skew: 100 })]
-fn all_nodes_stay_within_it(#[case] case: Case) {
+fn all_nodes_together_stay_within_the_budget(#[case] case: Case) {
     let mut random = SmallRng::seed_from_u64(3);
     let mut nodes: Vec<Allowance> = (0..case.nodes).map(|_| Allowance::new(BUDGET)).collect();
-    let (mut requests, mut repeats) = (VecDeque::new(), VecDeque::new());
+    let (mut requests, mut retries) = (VecDeque::new(), VecDeque::new());
     for now in (0..60_000_u64).step_by(20) {
         let first = random.random_range(0..100) < case.skew;
         let node = if first { 0 } else { random.random_range(0..case.nodes) };
         nodes[node].request("s", Millis(now));
         requests.push_back(now);
         while nodes[node].take("s", case.nodes, Millis(now)) {
-            repeats.push_back(now);
+            retries.push_back(now);
         }
-        for times in [&mut requests, &mut repeats] {
+        for times in [&mut requests, &mut retries] {
             while times.front().is_some_and(|at| at + BUDGET.window < now) {
                 times.pop_front();
             }
         }
         let allowed = BUDGET.ratio * requests.len() as f64 + BUDGET.slack;
-        assert!(repeats.len() as f64 <= allowed, "{}: {} at {now}", case.name, repeats.len());
+        assert!(retries.len() as f64 <= allowed, "{}: {} at {now}", case.name, retries.len());
     }
-    assert!(!repeats.is_empty(), "{}", case.name);
+    assert!(!retries.is_empty(), "{}", case.name);
 }
--- a/crates/coordination/tests/crashes/mod.rs
+++ b/crates/coordination/tests/crashes/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet whose engines end under requests that make them crash, in virtual time.
+//! Simulation of a fleet whose engines crash under culprits, in virtual time.
 //!
-//! Copies of the request come to nodes at random, several at once; each is read, runs, and its engine ends 34
-//! to 90 ms later with all that runs there. Nodes tell each other what they saw; messages take some milliseconds, and
-//! some get lost. Innocent requests run at the same engines, engines crash by themselves too, and each
-//! request that breaks off is tried once more.
+//! Copies of a culprit arrive at random nodes, several at once. Each is prefilled and runs, and its
+//! engine crashes 34 to 90 ms later with all that runs there. Nodes send each other what they see;
+//! messages take some milliseconds, and some get lost. Innocent requests run at the same engines,
+//! engines also crash on their own, and each interrupted request is retried.
 
 use crosslane_coordination::quarantine::{ANNOUNCED, BLAMED, INNOCENT, Quarantine};
 use crosslane_coordination::suspicion::{Standing, Word};
@@ -14,86 +14,88 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-const UNIX: u64 = 1_800_000_000_000;
+const UNIX_MS: u64 = 1_800_000_000_000;
 
-/// Time of a run, in milliseconds: for innocent requests, and to the crash for the other.
-const RUNS: std::ops::Range<u64> = 1_500..4_500;
-const CRASHES: std::ops::Range<u64> = 34..90;
+/// Duration of a run, in milliseconds: of an innocent request, and of a culprit until the crash.
+const RUN_MS: std::ops::Range<u64> = 1_500..4_500;
+const CRASH_AFTER_MS: std::ops::Range<u64> = 34..90;
 
-/// Time to look at an engine that broke off, and that a message takes, in milliseconds.
-const LOOK: u64 = 3;
-const MESSAGE: std::ops::Range<u64> = 1..12;
+/// Time to check an engine that interrupted a request, and latency of a message, in milliseconds.
+const CHECK_MS: u64 = 3;
+const LATENCY_MS: std::ops::Range<u64> = 1..12;
 
-/// Time until the second look at an engine that still took connections at the first one.
-const SECOND_LOOK: u64 = 12;
+/// Time until the second check of an engine that still accepted connections at the first one, in
+/// milliseconds.
+const SECOND_CHECK_MS: u64 = 12;
 
-/// Time in which a node that starts hears from another one.
-const GREETED: u64 = 300;
+/// Time after which a node that starts gets the known strikes and rulings from another one, in
+/// milliseconds.
+const SYNC_MS: u64 = 300;
 
 /// Share of the messages that get lost.
-const LOST: f64 = 0.03;
+const MESSAGE_LOSS: f64 = 0.03;
 
-/// Time after which an engine is back, in milliseconds.
-const BACK: u64 = 2_000;
+/// Time after which a crashed engine is back, in milliseconds.
+const RESTART_MS: u64 = 2_000;
 
-/// Length of a run of the simulation, in milliseconds.
-const END: u64 = 20_000;
+/// Length of the simulation, in milliseconds.
+const LENGTH_MS: u64 = 20_000;
 
-/// When many engines crash together, and how often, in milliseconds.
-const TOGETHER: std::ops::Range<u64> = 4_000..13_000;
-const EVERY: u64 = 600;
+/// When many engines crash together, and the time between two such crashes, in milliseconds.
+const JOINT_CRASHES_AT_MS: std::ops::Range<u64> = 4_000..13_000;
+const JOINT_CRASH_INTERVAL_MS: u64 = 600;
 
 /// Time between rulings, in milliseconds.
-const SETTLES: u64 = 20;
+const RULING_INTERVAL_MS: u64 = 20;
 
-/// Times that a caller comes, and after which while, in milliseconds.
+/// Number of calls by a caller, and the time between two, in milliseconds.
 const CALLS: u32 = 2;
-const RETURNS: std::ops::Range<u64> = 100..1_500;
+const CALL_INTERVAL_MS: std::ops::Range<u64> = 100..1_500;
 
-/// An engine that was chosen, and its life then.
+/// A chosen engine, with its incarnation at that time.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Choice {
     engine: usize,
-    life: u64,
+    incarnation: u64,
 }
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A caller returns, at any node.
+    /// A caller calls again, at any node.
     Returns { request: usize, attempt: u32 },
-    /// An attempt of a request begins at a node.
-    Starts { node: usize, request: usize, attempt: u32, place: Place },
-    /// Others had time to hear of a suspect's run.
-    Announced { node: usize, request: usize, attempt: u32, place: Place },
-    /// The engine of a request that makes engines crash ends, if it is still the same.
-    Ends { engine: usize, life: u64 },
-    /// A run goes well.
-    Well { run: u64 },
-    /// A node has looked at an engine that ended under a request.
-    Looked(Look),
-    /// A word arrives.
-    Heard { node: usize, from: Tag, request: Fingerprint, word: Word },
+    /// An attempt of a request starts at a node.
+    Starts { node: usize, request: usize, attempt: u32, choice: Choice },
+    /// The announcement of a trial is over.
+    Announced { node: usize, request: usize, attempt: u32, choice: Choice },
+    /// A culprit crashes an engine, if that is still the same incarnation.
+    Crashes { engine: usize, incarnation: u64 },
+    /// A run completes.
+    Completes { run: u64 },
+    /// A node has checked an engine that interrupted a request.
+    Checked(Check),
+    /// An update from another node arrives.
+    Receives { node: usize, from: Tag, request: Fingerprint, update: Word },
     /// An engine is back.
     Back { engine: usize },
-    /// A node found an engine alive, and is to look again.
-    LookedAgain(Look),
-    /// It looked again.
-    Struck(Look),
-    /// A node that starts hears what another one knows.
-    Greeted { node: usize },
+    /// A node found an engine alive, and is to check again.
+    CheckPending(Check),
+    /// It has checked again.
+    CheckedAgain(Check),
+    /// A node that starts receives what another one knows.
+    Synced { node: usize },
 }
 
-/// What a node sees of an engine that ended under a request.
+/// A node's check of an engine that interrupted a request.
 #[derive(Clone, Debug)]
-struct Look {
+struct Check {
     node: usize,
     request: usize,
     attempt: u32,
     tag: Tag,
-    /// Time that it had run.
+    /// Duration of the run.
     ran: u64,
-    /// Whether it still found the engine alive.
+    /// Whether the first check still found the engine alive.
     late: bool,
 }
 
@@ -106,37 +108,38 @@
 }
 
 struct Engine {
-    /// Its incarnation, and whether it is up.
-    life: u64,
+    /// Number of its incarnation, and whether it is up.
+    incarnation: u64,
     up: bool,
 }
 
-/// A fleet, and what is to happen to it.
+/// Parameters of a fleet.
 #[derive(Clone)]
 pub struct Case {
     pub nodes: usize,
     pub engines: usize,
-    /// Requests that make engines crash.
+    /// Number of culprits: requests that crash engines.
     pub culprits: usize,
-    /// Copies of each a second.
+    /// Copies of each culprit per second.
     pub copies: f64,
-    /// Innocent requests a second.
+    /// Innocent requests per second.
     pub innocent: f64,
-    /// Engines that crash by themselves in a second.
+    /// Engines that crash on their own per second.
     pub crashes: f64,
-    /// Share of the engines that crash together, in each of some seconds.
-    pub together: f64,
-    /// Whether engines are chosen before prompts are read, so that two suspects may choose the same one.
+    /// Share of the engines that crash together, each time.
+    pub joint_share: f64,
+    /// Whether engines are chosen before the prefill, so that two suspects may choose the same one.
     pub reserves: bool,
-    /// Whether all nodes choose the engine that runs the least, so that requests that break off together go on together.
-    pub least: bool,
-    /// Share of the ends at which a node still finds the engine alive at its first look.
-    pub late: f64,
-    /// Nodes that are killed and start again in a second.
+    /// Whether all nodes choose the engine with the fewest runs, so that requests that are
+    /// interrupted together are resumed together.
+    pub least_loaded: bool,
+    /// Share of crashes at which a node's first check still finds the engine alive.
+    pub late_checks: f64,
+    /// Nodes that are killed and restarted per second.
     pub restarts: f64,
-    /// Attempts of a request at a node.
+    /// Attempts of a request per call.
     pub attempts: u32,
-    /// Time from a request's arrival, or from a break, to its run, in milliseconds.
+    /// Time from a request's arrival or interruption to its run, in milliseconds.
     pub starts: std::ops::Range<u64>,
 }
 
@@ -149,10 +152,10 @@
             copies: 5.0,
             innocent: 10.0,
             crashes: 0.0,
-            together: 0.0,
+            joint_share: 0.0,
             reserves: false,
-            least: false,
-            late: 0.0,
+            least_loaded: false,
+            late_checks: 0.0,
             restarts: 0.0,
             attempts: 2,
             starts: 60..300,
@@ -160,18 +163,18 @@
     }
 }
 
-/// What came of a run of the simulation.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Engines that ended under each culprit.
-    pub ended: Vec<u32>,
-    /// Innocent requests.
+    /// Engines that crashed under each culprit.
+    pub crashed: Vec<u32>,
+    /// Number of innocent requests.
     pub innocent: u32,
-    /// Times that one was refused.
+    /// Times that an innocent request was refused.
     pub refused: u32,
-    /// Innocent requests that were ruled to be shut out.
+    /// Innocent requests that were shut out by a ruling.
     pub ruled: usize,
-    /// Of these, those that still are at the end.
+    /// Those of them that are still shut out at the end.
     pub still_shut: usize,
 }
 
@@ -179,33 +182,33 @@
     case: Case,
     random: SmallRng,
     nodes: Vec<Quarantine>,
-    /// When nodes serve that were started again.
+    /// When each restarted node serves again.
     serve_from: Vec<u64>,
     engines: Vec<Engine>,
     runs: BTreeMap<u64, Run>,
     events: HashMap<u64, Vec<Event>>,
     counter: u64,
-    /// Requests so far: those below the number of culprits make engines crash.
+    /// Number of requests so far; those below the number of culprits are culprits.
     requests: usize,
     ruled: BTreeSet<Fingerprint>,
     outcome: Outcome,
 }
 
-fn print(request: usize) -> Fingerprint {
+fn fingerprint_of(request: usize) -> Fingerprint {
     Fingerprint::of(&[&request.to_le_bytes()])
 }
 
-fn tag(engine: usize, life: u64) -> Tag {
-    Tag(engine as u64 * 1_000 + life)
+fn tag(engine: usize, incarnation: u64) -> Tag {
+    Tag(engine as u64 * 1_000 + incarnation)
 }
 
 impl Fleet {
     pub fn new(case: &Case, seed: u64) -> Self {
-        let engines = (0..case.engines).map(|_| Engine { life: 0, up: true });
+        let engines = (0..case.engines).map(|_| Engine { incarnation: 0, up: true });
         Self {
             case: case.clone(),
             random: SmallRng::seed_from_u64(seed),
-            nodes: (0..case.nodes).map(|it| Quarantine::new(Tag(it as u64))).collect(),
+            nodes: (0..case.nodes).map(|node| Quarantine::new(Tag(node as u64))).collect(),
             serve_from: vec![0; case.nodes],
             engines: engines.collect(),
             runs: BTreeMap::new(),
@@ -213,20 +216,20 @@
             counter: 0,
             requests: case.culprits,
             ruled: BTreeSet::new(),
-            outcome: Outcome { ended: vec![0; case.culprits], ..Outcome::default() },
+            outcome: Outcome { crashed: vec![0; case.culprits], ..Outcome::default() },
         }
     }
 
-    /// Plays it to its end.
+    /// Runs the simulation to its end.
     pub fn play(mut self) -> Outcome {
-        for now in 0..END {
+        for now in 0..LENGTH_MS {
             self.step(now);
         }
-        let culprits: Vec<Fingerprint> = (0..self.case.culprits).map(print).collect();
-        let innocent = self.ruled.iter().filter(|it| !culprits.contains(it));
+        let culprits: Vec<Fingerprint> = (0..self.case.culprits).map(fingerprint_of).collect();
+        let innocent = self.ruled.iter().filter(|request| !culprits.contains(request));
         let shut = |request: &&Fingerprint| {
-            let standing = |it: &Quarantine| it.standing(**request, Millis(END), UNIX);
-            self.nodes.iter().any(|it| matches!(standing(it), Standing::Shut(_)))
+            let status = |node: &Quarantine| node.standing(**request, Millis(LENGTH_MS), UNIX_MS);
+            self.nodes.iter().any(|node| matches!(status(node), Standing::Shut(_)))
         };
         self.outcome.ruled = innocent.clone().count();
         self.outcome.still_shut = innocent.filter(shut).count();
@@ -236,25 +239,25 @@
     fn step(&mut self, now: u64) {
         let case = self.case.clone();
         for culprit in 0..case.culprits {
-            if self.happens(case.copies) {
+            if self.occurs(case.copies) {
                 self.arrive(now, culprit);
             }
         }
-        if self.happens(case.innocent) {
+        if self.occurs(case.innocent) {
             self.arrive(now, self.requests);
             self.requests += 1;
         }
-        if self.happens(case.crashes) {
+        if self.occurs(case.crashes) {
             let engine = self.random.random_range(0..case.engines);
-            self.end(now, engine, self.engines[engine].life);
+            self.crash(now, engine, self.engines[engine].incarnation);
         }
-        if case.restarts > 0.0 && self.happens(case.restarts) {
+        if case.restarts > 0.0 && self.occurs(case.restarts) {
             self.restart(now);
         }
-        if TOGETHER.contains(&now) && now.is_multiple_of(EVERY) {
+        if JOINT_CRASHES_AT_MS.contains(&now) && now.is_multiple_of(JOINT_CRASH_INTERVAL_MS) {
             for engine in 0..case.engines {
-                if self.random.random_bool(case.together) {
-                    self.end(now, engine, self.engines[engine].life);
+                if self.random.random_bool(case.joint_share) {
+                    self.crash(now, engine, self.engines[engine].incarnation);
                 }
             }
         }
@@ -262,33 +265,35 @@
             self.handle(now, event);
         }
         self.settle(now);
-        self.tell(now);
+        self.send_updates(now);
     }
 
-    /// Whether something happens in this millisecond that happens so often in a second.
-    fn happens(&mut self, rate: f64) -> bool {
+    /// Whether an event with a rate per second happens in this millisecond.
+    fn occurs(&mut self, rate: f64) -> bool {
         self.random.random_bool(rate / 1_000.0)
     }
 
-    /// Kills a node, which starts again and knows nothing. What ran there ends; it serves once it heard from another one.
+    /// Kills and restarts a node, which loses its state. Its runs end, and it serves again once
+    /// another node has sent what it knows.
     fn restart(&mut self, now: u64) {
         let node = self.random.random_range(0..self.nodes.len());
         self.nodes[node] = Quarantine::new(Tag(node as u64));
-        self.runs.retain(|_, it| it.node != node);
-        self.serve_from[node] = now + GREETED;
-        self.at(now + GREETED, Event::Greeted { node });
+        self.runs.retain(|_, run| run.node != node);
+        self.serve_from[node] = now + SYNC_MS;
+        self.at(now + SYNC_MS, Event::Synced { node });
     }
 
-    fn greeted(&mut self, now: u64, node: usize) {
-        let mut others = (0..self.nodes.len()).filter(|it| now >= self.serve_from[*it]);
-        let Some(from) = others.find(|it| *it != node) else {
-            self.serve_from[node] = now + GREETED;
-            return self.at(now + GREETED, Event::Greeted { node });
+    fn synced(&mut self, now: u64, node: usize) {
+        let mut others = (0..self.nodes.len()).filter(|other| now >= self.serve_from[*other]);
+        let Some(from) = others.find(|other| *other != node) else {
+            self.serve_from[node] = now + SYNC_MS;
+            return self.at(now + SYNC_MS, Event::Synced { node });
         };
-        let rulings = self.nodes[from].rulings().map(|(it, ruling)| (it, Word::Ruled(ruling)));
-        let words: Vec<_> = rulings.chain(self.nodes[from].known()).collect();
-        for (request, word) in words {
-            self.nodes[node].hear(Tag(from as u64), request, word, Millis(now), UNIX);
+        let rulings =
+            self.nodes[from].rulings().map(|(request, ruling)| (request, Word::Ruled(ruling)));
+        let updates: Vec<_> = rulings.chain(self.nodes[from].known()).collect();
+        for (request, update) in updates {
+            self.nodes[node].hear(Tag(from as u64), request, update, Millis(now), UNIX_MS);
         }
     }
 
@@ -304,108 +309,115 @@
         self.start(now, node, request, 1);
     }
 
-    /// Sends a request on its way, if it may be.
+    /// Starts an attempt of a request if its status allows.
     fn start(&mut self, now: u64, node: usize, request: usize, attempt: u32) {
         if now < self.serve_from[node] {
             return;
         }
-        match self.nodes[node].standing(print(request), Millis(now), UNIX) {
+        match self.nodes[node].standing(fingerprint_of(request), Millis(now), UNIX_MS) {
             Standing::Free | Standing::Suspect => {
-                let Some(place) = self.place(now, node, request) else { return };
+                let Some(choice) = self.choose(now, node, request) else { return };
                 let after = self.random.random_range(self.case.starts.clone());
-                self.at(now + after, Event::Starts { node, request, attempt, place });
+                self.at(now + after, Event::Starts { node, request, attempt, choice });
             }
             Standing::Shut(_) if request >= self.case.culprits => self.outcome.refused += 1,
             Standing::Shut(_) | Standing::OnTrial => {}
         }
     }
 
-    /// Chooses an engine, whose memory is reserved before the prompt is read.
-    fn place(&mut self, now: u64, node: usize, request: usize) -> Option<Place> {
-        let taken = match self.nodes[node].standing(print(request), Millis(now), UNIX) {
-            Standing::Suspect => self.nodes[node].trials(print(request), Millis(now)),
+    /// Chooses an engine for a request. With `reserves` this happens before the prefill.
+    fn choose(&mut self, now: u64, node: usize, request: usize) -> Option<Choice> {
+        let taken = match self.nodes[node].standing(fingerprint_of(request), Millis(now), UNIX_MS) {
+            Standing::Suspect => self.nodes[node].trials(fingerprint_of(request), Millis(now)),
             _ => Vec::new(),
         };
-        let up = (0..self.engines.len()).filter(|it| self.engines[*it].up);
-        let free: Vec<usize> =
-            up.filter(|it| !taken.contains(&tag(*it, self.engines[*it].life))).collect();
+        let up = (0..self.engines.len()).filter(|engine| self.engines[*engine].up);
+        let free: Vec<usize> = up
+            .filter(|engine| !taken.contains(&tag(*engine, self.engines[*engine].incarnation)))
+            .collect();
         if free.is_empty() {
             return None;
         }
-        let engine = match self.case.least {
-            true => free.into_iter().min_by_key(|it| self.load(*it))?,
+        let engine = match self.case.least_loaded {
+            true => free.into_iter().min_by_key(|engine| self.load(*engine))?,
             false => free[self.random.random_range(0..free.len())],
         };
-        Some(Place { engine, life: self.engines[engine].life })
+        Some(Choice { engine, incarnation: self.engines[engine].incarnation })
     }
 
-    /// Runs at an engine.
+    /// Number of runs at an engine.
     fn load(&self, engine: usize) -> usize {
-        self.runs.values().filter(|it| it.engine == engine).count()
+        self.runs.values().filter(|run| run.engine == engine).count()
     }
 
-    fn run(&mut self, now: u64, node: usize, request: usize, attempt: u32, place: Place) {
+    fn run(&mut self, now: u64, node: usize, request: usize, attempt: u32, choice: Choice) {
         if now < self.serve_from[node] {
             return;
         }
-        let (at, fingerprint) = (Millis(now), print(request));
-        let standing = self.nodes[node].standing(fingerprint, at, UNIX);
-        if matches!(standing, Standing::Shut(_) | Standing::OnTrial) {
+        let (at, fingerprint) = (Millis(now), fingerprint_of(request));
+        let status = self.nodes[node].standing(fingerprint, at, UNIX_MS);
+        if matches!(status, Standing::Shut(_) | Standing::OnTrial) {
             return;
         }
-        let chosen = if self.case.reserves { Some(place) } else { self.place(now, node, request) };
-        let Some(Place { engine, life }) = chosen else { return };
-        let gone = !self.engines[engine].up || self.engines[engine].life != life;
-        let beside = self.nodes[node].trials(fingerprint, at).contains(&tag(engine, life));
-        if gone || (self.case.reserves && standing == Standing::Suspect && beside) {
+        let chosen =
+            if self.case.reserves { Some(choice) } else { self.choose(now, node, request) };
+        let Some(Choice { engine, incarnation }) = chosen else { return };
+        let replaced = !self.engines[engine].up || self.engines[engine].incarnation != incarnation;
+        let next_to_suspect =
+            self.nodes[node].trials(fingerprint, at).contains(&tag(engine, incarnation));
+        if replaced || (self.case.reserves && status == Standing::Suspect && next_to_suspect) {
             return self.start(now, node, request, attempt);
         }
-        let place = Place { engine, life };
-        if standing == Standing::Suspect {
-            self.nodes[node].begin(fingerprint, tag(engine, life), at);
-            self.at(now + ANNOUNCED, Event::Announced { node, request, attempt, place });
+        let choice = Choice { engine, incarnation };
+        if status == Standing::Suspect {
+            self.nodes[node].begin(fingerprint, tag(engine, incarnation), at);
+            self.at(now + ANNOUNCED, Event::Announced { node, request, attempt, choice });
         } else {
-            self.go(now, node, request, attempt, place);
+            self.go(now, node, request, attempt, choice);
         }
     }
 
-    /// Begins the run of a suspect, unless another one that was announced meanwhile goes before it.
-    fn announced(&mut self, now: u64, node: usize, request: usize, attempt: u32, place: Place) {
-        let Place { engine, life } = place;
-        let (at, fingerprint) = (Millis(now), print(request));
-        let gone = !self.engines[engine].up || self.engines[engine].life != life;
+    /// Starts the run of a suspect, unless its trial must yield to another one.
+    fn announced(&mut self, now: u64, node: usize, request: usize, attempt: u32, choice: Choice) {
+        let Choice { engine, incarnation } = choice;
+        let (at, fingerprint) = (Millis(now), fingerprint_of(request));
+        let replaced = !self.engines[engine].up || self.engines[engine].incarnation != incarnation;
         if now < self.serve_from[node] {
             return;
         }
-        if gone || self.nodes[node].gives_way(fingerprint, tag(engine, life), at) {
+        if replaced || self.nodes[node].gives_way(fingerprint, tag(engine, incarnation), at) {
             self.nodes[node].rest(fingerprint, at);
             return self.start(now, node, request, attempt);
         }
-        self.go(now, node, request, attempt, place);
+        self.go(now, node, request, attempt, choice);
     }
 
-    fn go(&mut self, now: u64, node: usize, request: usize, attempt: u32, place: Place) {
-        let Place { engine, life } = place;
+    fn go(&mut self, now: u64, node: usize, request: usize, attempt: u32, choice: Choice) {
+        let Choice { engine, incarnation } = choice;
         self.counter += 1;
         let run = self.counter;
         self.runs.insert(run, Run { node, request, attempt, engine, began: now });
         if request < self.case.culprits {
-            let after = self.random.random_range(CRASHES);
-            self.at(now + after, Event::Ends { engine, life });
+            let after = self.random.random_range(CRASH_AFTER_MS);
+            self.at(now + after, Event::Crashes { engine, incarnation });
         } else {
-            let after = self.random.random_range(RUNS);
-            self.at(now + after, Event::Well { run });
+            let after = self.random.random_range(RUN_MS);
+            self.at(now + after, Event::Completes { run });
         }
     }
 
-    fn end(&mut self, now: u64, engine: usize, life: u64) {
-        if !self.engines[engine].up || self.engines[engine].life != life {
+    fn crash(&mut self, now: u64, engine: usize, incarnation: u64) {
+        if !self.engines[engine].up || self.engines[engine].incarnation != incarnation {
             return;
         }
         self.engines[engine].up = false;
-        self.at(now + BACK, Event::Back { engine });
-        let here: Vec<u64> =
-            self.runs.iter().filter(|(_, it)| it.engine == engine).map(|it| *it.0).collect();
+        self.at(now + RESTART_MS, Event::Back { engine });
+        let here: Vec<u64> = self
+            .runs
+            .iter()
+            .filter(|(_, run)| run.engine == engine)
+            .map(|entry| *entry.0)
+            .collect();
         let mut culprits = Vec::new();
         let mut late = HashMap::new();
         for run in here {
@@ -415,56 +427,56 @@
             if request < self.case.culprits {
                 culprits.push(request);
             }
-            let (tag, ran) = (tag(engine, life), now - began);
-            let look = Look { node, request, attempt, tag, ran, late: false };
+            let (tag, ran) = (tag(engine, incarnation), now - began);
+            let check = Check { node, request, attempt, tag, ran, late: false };
             let late = *late.entry(node).or_insert_with(|| self.finds_alive());
             if late {
-                self.at(now + LOOK, Event::LookedAgain(look.clone()));
+                self.at(now + CHECK_MS, Event::CheckPending(check.clone()));
             }
-            self.at(now + LOOK, Event::Looked(Look { late, ..look }));
+            self.at(now + CHECK_MS, Event::Checked(Check { late, ..check }));
         }
         culprits.sort_unstable();
         culprits.dedup();
-        culprits.into_iter().for_each(|it| self.outcome.ended[it] += 1);
+        culprits.into_iter().for_each(|culprit| self.outcome.crashed[culprit] += 1);
     }
 
-    /// Whether a node finds an engine alive that has just ended.
+    /// Whether a node still finds an engine alive that has just crashed.
     fn finds_alive(&mut self) -> bool {
-        self.case.late > 0.0 && self.random.random_bool(self.case.late)
+        self.case.late_checks > 0.0 && self.random.random_bool(self.case.late_checks)
     }
 
-    /// Holds an end against a request.
-    fn strike(&mut self, now: u64, look: &Look) {
-        if now < self.serve_from[look.node] {
+    /// Records a crash against a request, or clears the request, by the duration of its run.
+    fn strike(&mut self, now: u64, check: &Check) {
+        if now < self.serve_from[check.node] {
             return;
         }
-        let Look { node, request, tag, ran, .. } = *look;
+        let Check { node, request, tag, ran, .. } = *check;
         self.nodes[node].ended(tag, Millis(now));
         match ran {
             ran if ran <= BLAMED => {
-                self.nodes[node].strike(print(request), tag, Millis(now));
+                self.nodes[node].strike(fingerprint_of(request), tag, Millis(now));
             }
             ran if ran >= INNOCENT => {
-                self.nodes[node].clear(print(request));
+                self.nodes[node].clear(fingerprint_of(request));
             }
             _ => {}
         }
     }
 
-    fn looked(&mut self, now: u64, look: Look) {
-        if now < self.serve_from[look.node] {
+    fn checked(&mut self, now: u64, check: Check) {
+        if now < self.serve_from[check.node] {
             return;
         }
-        if !look.late {
-            self.strike(now, &look);
+        if !check.late {
+            self.strike(now, &check);
         }
-        let Look { node, request, attempt, .. } = look;
-        self.nodes[node].rest(print(request), Millis(now));
+        let Check { node, request, attempt, .. } = check;
+        self.nodes[node].rest(fingerprint_of(request), Millis(now));
         let next = attempt + 1;
         match next {
             next if next > CALLS * self.case.attempts => {}
             next if next % self.case.attempts == 1 => {
-                let after = self.random.random_range(RETURNS);
+                let after = self.random.random_range(CALL_INTERVAL_MS);
                 self.at(now + after, Event::Returns { request, attempt: next });
             }
             next => self.start(now, node, request, next),
@@ -477,52 +489,54 @@
                 let node = self.random.random_range(0..self.nodes.len());
                 self.start(now, node, request, attempt);
             }
-            Event::Starts { node, request, attempt, place } => {
-                self.run(now, node, request, attempt, place);
+            Event::Starts { node, request, attempt, choice } => {
+                self.run(now, node, request, attempt, choice);
             }
-            Event::Announced { node, request, attempt, place } => {
-                self.announced(now, node, request, attempt, place);
+            Event::Announced { node, request, attempt, choice } => {
+                self.announced(now, node, request, attempt, choice);
             }
-            Event::Ends { engine, life } => self.end(now, engine, life),
-            Event::Well { run } => {
+            Event::Crashes { engine, incarnation } => self.crash(now, engine, incarnation),
+            Event::Completes { run } => {
                 if let Some(run) = self.runs.remove(&run) {
-                    self.nodes[run.node].clear(print(run.request));
+                    self.nodes[run.node].clear(fingerprint_of(run.request));
                 }
             }
-            Event::Looked(look) => self.looked(now, look),
-            Event::LookedAgain(look) => self.at(now + SECOND_LOOK, Event::Struck(look)),
-            Event::Struck(look) => self.strike(now, &look),
-            Event::Greeted { node } => self.greeted(now, node),
-            Event::Heard { node, from, request, word } => {
-                self.nodes[node].hear(from, request, word, Millis(now), UNIX);
+            Event::Checked(check) => self.checked(now, check),
+            Event::CheckPending(check) => {
+                self.at(now + SECOND_CHECK_MS, Event::CheckedAgain(check))
+            }
+            Event::CheckedAgain(check) => self.strike(now, &check),
+            Event::Synced { node } => self.synced(now, node),
+            Event::Receives { node, from, request, update } => {
+                self.nodes[node].hear(from, request, update, Millis(now), UNIX_MS);
             }
             Event::Back { engine } => {
                 let engine = &mut self.engines[engine];
-                (engine.life, engine.up) = (engine.life + 1, true);
+                (engine.incarnation, engine.up) = (engine.incarnation + 1, true);
             }
         }
     }
 
     fn settle(&mut self, now: u64) {
-        if now.is_multiple_of(SETTLES) {
-            let settled = self.nodes.iter_mut().map(|it| it.settle(Millis(now), UNIX));
+        if now.is_multiple_of(RULING_INTERVAL_MS) {
+            let settled = self.nodes.iter_mut().map(|node| node.settle(Millis(now), UNIX_MS));
             let ruled: Vec<Fingerprint> = settled.flatten().collect();
             self.ruled.extend(ruled);
-            self.nodes.iter_mut().for_each(|it| {
-                it.acquit(Millis(now), UNIX);
+            self.nodes.iter_mut().for_each(|node| {
+                node.acquit(Millis(now), UNIX_MS);
             });
         }
     }
 
-    fn tell(&mut self, now: u64) {
+    fn send_updates(&mut self, now: u64) {
         for from in 0..self.nodes.len() {
-            for (request, word) in self.nodes[from].words() {
-                for node in (0..self.nodes.len()).filter(|it| *it != from) {
-                    if !self.random.random_bool(LOST) {
-                        let after = self.random.random_range(MESSAGE);
-                        let word = word.clone();
+            for (request, update) in self.nodes[from].words() {
+                for node in (0..self.nodes.len()).filter(|other| *other != from) {
+                    if !self.random.random_bool(MESSAGE_LOSS) {
+                        let after = self.random.random_range(LATENCY_MS);
+                        let update = update.clone();
                         let from = Tag(from as u64);
-                        self.at(now + after, Event::Heard { node, from, request, word });
+                        self.at(now + after, Event::Receives { node, from, request, update });
                     }
                 }
             }
--- a/crates/coordination/tests/detector.rs
+++ b/crates/coordination/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Beliefs about nodes, and what follows for what engines hold.
+//! Failure detection, and which attempts at engines are cancelled by it.
 
 use crosslane_coordination::detector::{Belief, Detector};
 use crosslane_coordination::reconcile::plan;
@@ -11,7 +11,7 @@
 const START: Millis = Millis(1_000);
 
 #[rstest]
-fn silence_makes_a_suspect_and_others_make_it_dead() {
+fn a_suspect_is_dead_once_others_confirm() {
     let mut detector = Detector::new(500);
     assert_eq!(detector.belief(NODE, START), Belief::Dead, "never watched");
     detector.watch(NODE, START);
@@ -22,11 +22,11 @@
     assert_eq!(detector.belief(NODE, START + 500), Belief::Dead);
     assert!(detector.suspects(START + 500).is_empty());
     detector.heard(NODE, START + 600);
-    assert_eq!(detector.belief(NODE, START + 600), Belief::Alive, "a sign of life");
+    assert_eq!(detector.belief(NODE, START + 600), Belief::Alive, "contact");
 }
 
 #[rstest]
-fn a_process_that_stood_still_believes_nobody_dead() {
+fn after_a_pause_no_node_is_dead() {
     let mut detector = Detector::new(500);
     detector.watch(NODE, START);
     detector.confirm(NODE, START + 9_000);
@@ -35,7 +35,7 @@
 }
 
 #[rstest]
-fn only_what_belongs_to_the_dead_is_cancelled_unasked() {
+fn only_attempts_of_dead_nodes_are_cancelled_without_asking() {
     let of = |origin| Id { origin: Incarnation(origin), sequence: 1, round: 0 };
     let belief = |origin: Incarnation| match origin.0 {
         1 => Belief::Alive,
--- a/crates/coordination/tests/identity.rs
+++ b/crates/coordination/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Identity: who is let in, and whose a request is.
+//! Identification of callers by their keys.
 
 use crosslane_coordination::identity::{self, Denial};
 use crosslane_state::fingerprint::Fingerprint;
@@ -30,12 +30,12 @@
 
 fn table(organisations: Option<&[(&str, &str)]>) -> Table {
     let mut table = Table::new(1, Vec::new(), HashMap::new(), LIMITS);
-    table.organisations = organisations.map(|some| {
+    table.organisations = organisations.map(|list| {
         let mut all = Organisations::default();
-        for (name, shown) in some {
+        for (name, sent_key) in list {
             let organisation =
                 Organisation { name: (*name).into(), unit: Unit::Requests, limit: None };
-            assert!(all.add(organisation, &[key(shown)]));
+            assert!(all.add(organisation, &[key(sent_key)]));
         }
         all
     });
@@ -46,30 +46,36 @@
     name: &'static str,
     organisations: Option<&'static [(&'static str, &'static str)]>,
     open: bool,
-    shown: Option<&'static str>,
-    found: Result<Option<&'static str>, Denial>,
+    sent_key: Option<&'static str>,
+    expected: Result<Option<&'static str>, Denial>,
 }
 
 const TWO: Option<&[(&str, &str)]> = Some(&[("one", "k1"), ("two", "k2")]);
 
 #[rstest]
-#[case(Case { name: "own key", organisations: TWO, open: false, shown: Some("k2"), found: Ok(Some("two")) })]
-#[case(Case { name: "own key, none needed", organisations: TWO, open: true, shown: Some("k1"), found: Ok(Some("one")) })]
-#[case(Case { name: "no key", organisations: TWO, open: false, shown: None, found: Err(Denial::NoKey) })]
-#[case(Case { name: "no key, none needed", organisations: TWO, open: true, shown: None, found: Ok(None) })]
-#[case(Case { name: "unknown", organisations: TWO, open: false, shown: Some("k3"), found: Err(Denial::UnknownKey) })]
-#[case(Case { name: "taken away, none needed", organisations: TWO, open: true, shown: Some("k3"), found: Err(Denial::UnknownKey) })]
-#[case(Case { name: "empty list", organisations: Some(&[]), open: false, shown: Some("k1"), found: Err(Denial::UnknownKey) })]
-#[case(Case { name: "no list", organisations: None, open: false, shown: Some("k1"), found: Ok(None) })]
-fn whose_a_request_is(#[case] case: Case) {
+#[case(Case { name: "own key", organisations: TWO, open: false, sent_key: Some("k2"), expected: Ok(Some("two")) })]
+#[case(Case { name: "own key, none needed", organisations: TWO, open: true, sent_key: Some("k1"), expected: Ok(Some("one")) })]
+#[case(Case { name: "no key", organisations: TWO, open: false, sent_key: None, expected: Err(Denial::NoKey) })]
+#[case(Case { name: "no key, none needed", organisations: TWO, open: true, sent_key: None, expected: Ok(None) })]
+#[case(Case { name: "unknown", organisations: TWO, open: false, sent_key: Some("k3"), expected: Err(Denial::UnknownKey) })]
+#[case(Case { name: "revoked, none needed", organisations: TWO, open: true, sent_key: Some("k3"), expected: Err(Denial::UnknownKey) })]
+#[case(Case { name: "empty list", organisations: Some(&[]), open: false, sent_key: Some("k1"), expected: Err(Denial::UnknownKey) })]
+#[case(Case { name: "no list", organisations: None, open: false, sent_key: Some("k1"), expected: Ok(None) })]
+fn requests_are_identified_by_their_key(#[case] case: Case) {
     let table = table(case.organisations);
-    let credential = case.shown.map_or(Credential::Absent, |it| Credential::Key(key(it)));
+    let credential =
+        case.sent_key.map_or(Credential::Absent, |sent_key| Credential::Key(key(sent_key)));
     let found = identity::identify(&table, &route(case.open), credential);
-    assert_eq!(found.map(|it| it.map(|it| it.name.as_str())), case.found, "{}", case.name);
+    assert_eq!(
+        found.map(|caller| caller.map(|organisation| organisation.name.as_str())),
+        case.expected,
+        "{}",
+        case.name
+    );
 }
 
 #[rstest]
-fn what_is_no_key_is_not_let_in() {
+fn a_malformed_key_is_refused() {
     let table = table(TWO);
     let found = identity::identify(&table, &route(true), Credential::Malformed);
     assert_eq!(found.unwrap_err(), Denial::NoKey);
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,25 +1,25 @@
-//! Lease on orders: never two holders in turn within its length.
+//! Lease on orders: the turns of two holders lie more than its length apart.
 
 use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record, Step};
 use crosslane_state::time::Millis;
 use rstest::rstest;
 
-const LENGTH: u64 = 3_000;
+const LENGTH_MS: u64 = 3_000;
 
-fn held(by: Option<&str>, end: u64) -> Record {
-    Record { holder: by.map(Into::into), end }
+fn record(holder: Option<&str>, end: u64) -> Record {
+    Record { holder: holder.map(Into::into), end }
 }
 
 struct Case {
     name: &'static str,
     holder: Option<&'static str>,
-    /// Offsets seen with their times.
+    /// Offsets that were read, with their times.
     seen: &'static [(u64, u64)],
     step: Step,
 }
 
 #[rstest]
-#[case(Case { name: "nobody held it", holder: None, seen: &[(0, 0)], step: Step::Append { end: 0 } })]
+#[case(Case { name: "no holder", holder: None, seen: &[(0, 0)], step: Step::Append { end: 0 } })]
 #[case(Case {
     name: "this node holds it",
     holder: Some("me"),
@@ -28,39 +28,40 @@
 })]
 #[case(Case { name: "another holds it", holder: Some("other"), seen: &[(4, 0)], step: Step::Wait })]
 #[case(Case {
-    name: "another used it meanwhile",
+    name: "another renewed it meanwhile",
     holder: Some("other"),
     seen: &[(4, 0), (5, 4_000), (5, 6_000)],
     step: Step::Wait,
 })]
 #[case(Case {
-    name: "another was silent for its length and window",
+    name: "another did not renew it for its length and the order window",
     holder: Some("other"),
-    seen: &[(4, 0), (4, LENGTH + ORDER_WINDOW + 600)],
+    seen: &[(4, 0), (4, LENGTH_MS + ORDER_WINDOW + 600)],
     step: Step::Append { end: 4 },
 })]
-fn steps(#[case] case: Case) {
-    let mut lease = Lease::new("me".into(), LENGTH);
+fn next_step_by_the_records_seen(#[case] case: Case) {
+    let mut lease = Lease::new("me".into(), LENGTH_MS);
     let steps: Vec<Step> = case
         .seen
         .iter()
-        .map(|(end, at)| lease.step(&held(case.holder, *end), Millis(*at)))
+        .map(|(end, at)| lease.step(&record(case.holder, *end), Millis(*at)))
         .collect();
     assert_eq!(steps.last(), Some(&case.step), "{}", case.name);
 }
 
-/// Two nodes that look at all times and append when they may: the store arbitrates, and turns of
-/// different holders lie at least the lease apart, orders at the end of each window included.
+/// Two nodes that read the lease regularly and append when they may: the store arbitrates, and the
+/// turns of different holders are at least the lease apart, counted from the end of each order
+/// window.
 #[rstest]
 #[case(90)]
 #[case(500)]
 #[case(1_300)]
-fn turns_lie_apart(#[case] look: u64) {
-    let mut nodes = ["one", "two"].map(|name| (name, Lease::new(name.into(), LENGTH)));
-    let mut record = held(None, 0);
+fn turns_of_two_holders_are_far_enough_apart(#[case] interval_ms: u64) {
+    let mut nodes = ["one", "two"].map(|name| (name, Lease::new(name.into(), LENGTH_MS)));
+    let mut record = self::record(None, 0);
     let mut last: Option<(&str, u64)> = None;
-    for now in (0..200_000).step_by(look as usize) {
-        // The holder is paused now and then, so that the other takes over.
+    for now in (0..200_000).step_by(interval_ms as usize) {
+        // The holder is paused now and then, so that the other one takes over.
         let paused = (now / 20_000) % 2 == 1;
         for (name, lease) in &mut nodes {
             if paused && last.is_some_and(|(holder, _)| holder == *name) {
@@ -71,9 +72,12 @@
                 if let Some((holder, at)) = last
                     && holder != *name
                 {
-                    assert!(now >= at + ORDER_WINDOW + LENGTH, "{holder} at {at}, {name} at {now}");
+                    assert!(
+                        now >= at + ORDER_WINDOW + LENGTH_MS,
+                        "{holder} at {at}, {name} at {now}"
+                    );
                 }
-                record = held(Some(name), end + 1);
+                record = self::record(Some(name), end + 1);
                 last = Some((name, now));
             }
         }
--- a/crates/coordination/tests/pace.rs
+++ b/crates/coordination/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Pace: what may be given away, over time.
+//! Rate limit on bytes, over time.
 
 use crosslane_coordination::pace::Pace;
 use crosslane_state::time::Millis;
@@ -6,26 +6,26 @@
 
 struct Case {
     name: &'static str,
-    /// Times at which a piece of 100 bytes is asked for, in milliseconds.
-    asked: &'static [u64],
-    /// How many of them go.
-    go: usize,
+    /// Times at which a piece of 100 bytes is to be sent, in milliseconds.
+    requested: &'static [u64],
+    /// How many of them are sent.
+    sent: usize,
 }
 
 #[rstest]
-#[case(Case { name: "a burst, and the last one overdraws it", asked: &[0, 0, 0, 0, 0], go: 3 })]
-#[case(Case { name: "refilled while it rests", asked: &[0, 0, 0, 0, 1_000, 1_000, 1_000, 1_000], go: 6 })]
-#[case(Case { name: "no more than a burst after a long rest", asked: &[90_000; 9], go: 3 })]
-#[case(Case { name: "an overdraft is made up first", asked: &[0, 0, 0, 40, 60, 70], go: 4 })]
-#[case(Case { name: "small steps of time are not lost", asked: &[0, 0, 0, 12, 24, 36, 48, 60], go: 4 })]
-fn pieces_that_go(#[case] case: Case) {
+#[case(Case { name: "a burst, and the last one overdraws it", requested: &[0, 0, 0, 0, 0], sent: 3 })]
+#[case(Case { name: "refilled while idle", requested: &[0, 0, 0, 0, 1_000, 1_000, 1_000, 1_000], sent: 6 })]
+#[case(Case { name: "no more than a burst after a long idle time", requested: &[90_000; 9], sent: 3 })]
+#[case(Case { name: "an overdraft is made up first", requested: &[0, 0, 0, 40, 60, 70], sent: 4 })]
+#[case(Case { name: "small steps of time are not lost", requested: &[0, 0, 0, 12, 24, 36, 48, 60], sent: 4 })]
+fn pieces_sent_within_the_rate(#[case] case: Case) {
     let mut pace = Pace::new(1_000, 250);
-    let mut go = 0;
-    for at in case.asked {
+    let mut sent = 0;
+    for at in case.requested {
         if pace.open(Millis(*at)) {
             pace.spend(100);
-            go += 1;
+            sent += 1;
         }
     }
-    assert_eq!(go, case.go, "{}", case.name);
+    assert_eq!(sent, case.sent, "{}", case.name);
 }
--- a/crates/coordination/tests/quota.rs
+++ b/crates/coordination/tests/quota.rs
@@ -1,9 +1,11 @@
-//! Quota: what all nodes hand out stays within an organisation's limit, and what is within it is served.
+//! Grants of all nodes together stay within an organisation's limit, and usage within the limit is
+//! granted.
 //!
-//! A fleet in virtual time: requests come to any node, each asks the owner that it believes in; nodes are cut
-//! off from each other, killed and restarted. Messages take no time. What others do is known after a
-//! while, as from heartbeats. Beside it, each node with its even share, and one bucket that sees all,
-//! which tells what was rightful.
+//! A fleet in virtual time: requests arrive at any node, and each node asks the limit's owner in
+//! its own view of the fleet. Nodes are partitioned, killed and restarted. Messages take no time;
+//! the state of other nodes is known after a delay, as with heartbeats. Two references run on the
+//! same requests: nodes with even shares only, and a single bucket that sees all requests and
+//! decides which of them are within the limit.
 
 use crosslane_coordination::quota::{self, Ask, Bound, Quota, Verdict};
 use crosslane_state::endpoint::Tag;
@@ -17,44 +19,44 @@
 
 const BOUND: Bound = Bound { window: 8_000, overage: 0.1, slack: 190_000.0 };
 
-/// A small organisation, which uses 22,000 tokens a second, and a large one.
+/// A small organisation, which uses 22,000 tokens per second, and a large one.
 const SMALL: Limit = Limit { rate: 47_000.0, burst: 47_000.0 };
 const LARGE: Limit = Limit { rate: 310_000.0, burst: 310_000.0 };
 
-/// Time until all nodes know that another one is silent, and that it is back, in milliseconds: a heartbeat's life, and
-/// the first heartbeat.
-const SILENCE: u64 = 4_400;
-const RETURN: u64 = 100;
+/// Time until all nodes know that another one is down, and that it is back, in milliseconds: the
+/// validity of a heartbeat, and the time to the first heartbeat.
+const DETECT_DOWN_MS: u64 = 4_400;
+const DETECT_UP_MS: u64 = 100;
 
 const ORGANISATION: Tag = Tag(7);
 
-/// Length of a run, in milliseconds, and of its steps.
-const LENGTH: u64 = 45_000;
-const STEP: u64 = 5;
+/// Length of a run and of its steps, in milliseconds.
+const LENGTH_MS: u64 = 45_000;
+const STEP_MS: u64 = 5;
 
 /// How nodes decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Mode {
     Owner,
     EvenShares,
 }
 
-/// What happens to nodes.
+/// Faults of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
-    /// A third of the nodes hears nobody for 10 s, while the organisation is hot.
-    Cut,
-    /// A third is killed one after the other, the owner first, each back after 2 s.
+    /// A third of the nodes is partitioned for 10 s, during the organisation's peak.
+    Partition,
+    /// A third of the nodes is killed one after the other, the owner first; each is back after 2 s.
     Kills,
-    /// All restart at once.
+    /// All nodes are restarted at the same moment.
     Restart,
 }
 
 struct Node {
     owned: Quota,
     alone: Quota,
-    /// Down, or cut off from the others, from and until when.
+    /// When it is down or partitioned: start and end.
     away: Option<(u64, u64)>,
     killed: bool,
 }
@@ -62,17 +64,17 @@
 struct Fleet {
     nodes: Vec<Node>,
     limit: Limit,
-    way: Way,
+    mode: Mode,
     random: SmallRng,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Largest use in a window, as a share of what is borne.
+    /// Highest usage in a window, as a share of what is tolerated.
     most: f64,
-    /// What one bucket that sees all grants, and what the fleet granted.
-    rightful: f64,
+    /// Cost granted by a single bucket that sees all requests, and by the fleet.
+    within_limit: f64,
     granted: f64,
 }
 
@@ -81,23 +83,23 @@
         self.nodes[node].away.is_some_and(|(from, until)| now >= from && now < until)
     }
 
-    /// Whether others believe that a node lives.
-    fn believed(&self, node: usize, now: u64) -> bool {
+    /// Whether others consider a node alive.
+    fn seems_alive(&self, node: usize, now: u64) -> bool {
         self.nodes[node]
             .away
-            .is_none_or(|(from, until)| now < from + SILENCE || now >= until + RETURN)
+            .is_none_or(|(from, until)| now < from + DETECT_DOWN_MS || now >= until + DETECT_UP_MS)
     }
 
     fn owners(&self, asker: usize, now: u64) -> Vec<usize> {
-        let cut = self.away(asker, now);
-        let seen = |it: &usize| *it == asker || (!cut && self.believed(*it, now));
+        let partitioned = self.away(asker, now);
+        let seen = |node: &usize| *node == asker || (!partitioned && self.seems_alive(*node, now));
         let seen = (0..self.nodes.len()).filter(seen);
-        quota::owners(ORGANISATION, seen.map(|it| (Tag(it as u64), it)))
+        quota::owners(ORGANISATION, seen.map(|node| (Tag(node as u64), node)))
     }
 
     fn share(&self, node: usize, now: u64) -> f64 {
         let all = self.nodes.len();
-        let seen = (0..all).filter(|it| self.believed(*it, now)).count();
+        let seen = (0..all).filter(|node| self.seems_alive(*node, now)).count();
         let seen = if self.away(node, now) { 1 } else { seen };
         seen as f64 / all as f64
     }
@@ -105,7 +107,7 @@
     fn granted(&mut self, at: usize, cost: u32, now: u64) -> bool {
         let draw = self.random.random();
         let ask = Ask { subject: ORGANISATION, limit: self.limit, cost, draw };
-        if self.way == Way::Owner {
+        if self.mode == Mode::Owner {
             for owner in self.owners(at, now) {
                 let reached = owner == at || !(self.away(owner, now) || self.away(at, now));
                 let share = self.share(owner, now);
@@ -127,19 +129,19 @@
         self.nodes[node].alone = Quota::new(BOUND);
     }
 
-    fn trouble(&mut self, trouble: Trouble) {
+    fn schedule_fault(&mut self, fault: Fault) {
         let count = self.nodes.len();
-        let all = (0..count).map(|it| (Tag(it as u64), it));
+        let all = (0..count).map(|node| (Tag(node as u64), node));
         let mut order = quota::ranked(ORGANISATION, all);
         order[1..].shuffle(&mut self.random);
         for (place, node) in order.into_iter().enumerate() {
-            let (away, killed) = match trouble {
-                Trouble::Cut if place % 3 == 0 => (Some((9_000, 19_000)), false),
-                Trouble::Kills if place < count.div_ceil(3) => {
+            let (away, killed) = match fault {
+                Fault::Partition if place % 3 == 0 => (Some((9_000, 19_000)), false),
+                Fault::Kills if place < count.div_ceil(3) => {
                     let from = 11_000 + place as u64 * 400;
                     (Some((from, from + 2_000)), true)
                 }
-                Trouble::Restart => (Some((13_000, 14_000)), true),
+                Fault::Restart => (Some((13_000, 14_000)), true),
                 _ => (None, false),
             };
             self.nodes[node].away = away;
@@ -148,21 +150,21 @@
     }
 }
 
-/// Traffic as a multiple of the usual: a hot spell, and a burst.
-fn traffic(now: u64, hot: f64) -> f64 {
+/// Traffic as a multiple of the usual: a peak, and a burst.
+fn traffic(now: u64, peak: f64) -> f64 {
     match now {
-        10_000..17_000 => hot,
+        10_000..17_000 => peak,
         30_000..34_000 => 1.7,
         _ => 1.0,
     }
 }
 
 struct Run {
-    way: Way,
+    mode: Mode,
     nodes: usize,
     limit: Limit,
-    hot: f64,
-    trouble: Trouble,
+    peak: f64,
+    fault: Fault,
     seed: u64,
 }
 
@@ -176,100 +178,102 @@
         };
         let nodes = (0..self.nodes).map(|_| node()).collect();
         let random = SmallRng::seed_from_u64(self.seed);
-        let mut fleet = Fleet { nodes, limit: self.limit, way: self.way, random };
-        fleet.trouble(self.trouble);
-        let mut whole = Quota::new(Bound { overage: 0.0, slack: 0.0, ..BOUND });
-        let mut used: VecDeque<(u64, f64)> = VecDeque::new();
+        let mut fleet = Fleet { nodes, limit: self.limit, mode: self.mode, random };
+        fleet.schedule_fault(self.fault);
+        let mut reference = Quota::new(Bound { overage: 0.0, slack: 0.0, ..BOUND });
+        let mut usage: VecDeque<(u64, f64)> = VecDeque::new();
         let (mut sum, mut outcome) = (0.0, Outcome::default());
-        let borne = BOUND.allowed(self.limit) + BOUND.spare(self.limit);
+        let tolerated = BOUND.allowed(self.limit) + BOUND.spare(self.limit);
         let usual = self.limit.rate / 1.8;
-        let mut owed = 0.0;
-        for now in (0..LENGTH).step_by(STEP as usize) {
+        let mut due = 0.0;
+        for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
             for node in 0..self.nodes {
                 let back = fleet.nodes[node].away.is_some_and(|(_, until)| until == now);
                 if back && fleet.nodes[node].killed {
                     fleet.restart(node);
                 }
             }
-            owed += usual * traffic(now, self.hot) * STEP as f64 / 1_000.0;
-            while owed > 0.0 {
+            due += usual * traffic(now, self.peak) * STEP_MS as f64 / 1_000.0;
+            while due > 0.0 {
                 let cost = fleet.random.random_range(600..5_800);
-                owed -= f64::from(cost);
+                due -= f64::from(cost);
                 let at = fleet.random.random_range(0..self.nodes);
                 if fleet.nodes[at].killed && fleet.away(at, now) {
                     continue;
                 }
                 let ask = Ask { subject: ORGANISATION, limit: self.limit, cost, draw: 0.5 };
-                let rightful = whole.rule(ask, 1.0, Millis(now)) == Verdict::Granted;
+                let within_limit = reference.rule(ask, 1.0, Millis(now)) == Verdict::Granted;
                 let granted = fleet.granted(at, cost, now);
-                outcome.rightful += if rightful { f64::from(cost) } else { 0.0 };
+                outcome.within_limit += if within_limit { f64::from(cost) } else { 0.0 };
                 if granted {
                     outcome.granted += f64::from(cost);
-                    used.push_back((now, f64::from(cost)));
+                    usage.push_back((now, f64::from(cost)));
                     sum += f64::from(cost);
                 }
             }
-            while used.front().is_some_and(|it| it.0 + BOUND.window < now) {
-                sum -= used.pop_front().map_or(0.0, |it| it.1);
+            while usage.front().is_some_and(|entry| entry.0 + BOUND.window < now) {
+                sum -= usage.pop_front().map_or(0.0, |entry| entry.1);
             }
-            outcome.most = outcome.most.max(sum / borne);
+            outcome.most = outcome.most.max(sum / tolerated);
         }
         outcome
     }
 }
 
 struct Case {
-    trouble: Trouble,
-    hot: f64,
-    /// Largest share of rightful requests that may be refused.
+    fault: Fault,
+    peak: f64,
+    /// Largest share of the requests within the limit that may be refused.
     refused: f64,
-    /// Nodes up to which that holds: of 295 one that hears nobody has an even share of 160 tokens a second.
+    /// Largest fleet for which that holds: of 295 nodes, a partitioned one has an even share of
+    /// just 160 tokens per second.
     up_to: usize,
 }
 
-/// Sizes of fleets with the seeds played for each; large ones take longer. `QUOTA_SEEDS` multiplies them.
+/// Sizes of fleets, with the number of seeds for each; large ones take longer. `QUOTA_SEEDS`
+/// multiplies them.
 const SIZES: [(usize, u64); 4] = [(8, 12), (78, 8), (295, 2), (780, 1)];
 
 #[rstest]
-#[case(Case { trouble: Trouble::None, hot: 1.0, refused: 0.001, up_to: 780 })]
-#[case(Case { trouble: Trouble::None, hot: 7.5, refused: 0.01, up_to: 780 })]
-#[case(Case { trouble: Trouble::Kills, hot: 1.0, refused: 0.01, up_to: 780 })]
-#[case(Case { trouble: Trouble::Restart, hot: 1.0, refused: 0.01, up_to: 780 })]
-#[case(Case { trouble: Trouble::Kills, hot: 7.5, refused: 0.01, up_to: 780 })]
-#[case(Case { trouble: Trouble::Cut, hot: 7.5, refused: 0.01, up_to: 78 })]
-#[case(Case { trouble: Trouble::Restart, hot: 7.5, refused: 0.01, up_to: 780 })]
-fn owners_stay_within_the_bound_and_serve_what_is_rightful(#[case] case: Case) {
+#[case(Case { fault: Fault::None, peak: 1.0, refused: 0.001, up_to: 780 })]
+#[case(Case { fault: Fault::None, peak: 7.5, refused: 0.01, up_to: 780 })]
+#[case(Case { fault: Fault::Kills, peak: 1.0, refused: 0.01, up_to: 780 })]
+#[case(Case { fault: Fault::Restart, peak: 1.0, refused: 0.01, up_to: 780 })]
+#[case(Case { fault: Fault::Kills, peak: 7.5, refused: 0.01, up_to: 780 })]
+#[case(Case { fault: Fault::Partition, peak: 7.5, refused: 0.01, up_to: 78 })]
+#[case(Case { fault: Fault::Restart, peak: 7.5, refused: 0.01, up_to: 780 })]
+fn owners_stay_within_the_tolerance_and_grant_what_is_within_the_limit(#[case] case: Case) {
     for (nodes, seeds) in SIZES {
         for limit in [SMALL, LARGE] {
-            for way in [Way::Owner, Way::EvenShares] {
+            for mode in [Mode::Owner, Mode::EvenShares] {
                 let run =
-                    |seed| Run { way, nodes, limit, hot: case.hot, trouble: case.trouble, seed };
+                    |seed| Run { mode, nodes, limit, peak: case.peak, fault: case.fault, seed };
                 let outcomes: Vec<Outcome> =
-                    (0..seeds * times()).map(|seed| run(seed).play()).collect();
-                let most = outcomes.iter().fold(0.0_f64, |most, it| most.max(it.most));
-                let rightful: f64 = outcomes.iter().map(|it| it.rightful).sum();
-                let granted: f64 = outcomes.iter().map(|it| it.granted).sum();
-                let share = (1.0 - granted / rightful).max(0.0);
-                let (trouble, hot, rate) = (case.trouble, case.hot, limit.rate);
-                let told = format!(
-                    "{way:?} {trouble:?} hot {hot} nodes {nodes} rate {rate}: most {most:.3}, refused {share:.4}"
+                    (0..seeds * seed_factor()).map(|seed| run(seed).play()).collect();
+                let most = outcomes.iter().fold(0.0_f64, |most, outcome| most.max(outcome.most));
+                let within_limit: f64 = outcomes.iter().map(|outcome| outcome.within_limit).sum();
+                let granted: f64 = outcomes.iter().map(|outcome| outcome.granted).sum();
+                let share = (1.0 - granted / within_limit).max(0.0);
+                let (fault, peak, rate) = (case.fault, case.peak, limit.rate);
+                let summary = format!(
+                    "{mode:?} {fault:?} peak {peak} nodes {nodes} rate {rate}: most {most:.3}, refused {share:.4}"
                 );
-                println!("{told}");
-                if way == Way::Owner {
-                    assert!(most <= 1.0, "{told}");
-                    assert!(nodes > case.up_to || share <= case.refused, "{told}");
+                println!("{summary}");
+                if mode == Mode::Owner {
+                    assert!(most <= 1.0, "{summary}");
+                    assert!(nodes > case.up_to || share <= case.refused, "{summary}");
                 }
             }
         }
     }
 }
 
-fn times() -> u64 {
-    std::env::var("QUOTA_SEEDS").ok().and_then(|it| it.parse().ok()).unwrap_or(1)
+fn seed_factor() -> u64 {
+    std::env::var("QUOTA_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(1)
 }
 
 #[rstest]
-fn what_never_ran_is_given_back() {
+fn cost_of_a_request_that_never_ran_is_refunded() {
     let mut quota = Quota::new(Bound { window: 8_000, ..Bound::default() });
     let limit = Limit { rate: 100.0, burst: 100.0 };
     let ask = Ask { subject: ORGANISATION, limit, cost: 100, draw: 0.0 };
@@ -282,7 +286,7 @@
 }
 
 #[rstest]
-fn an_owner_that_sees_less_than_half_of_the_fleet_rules_on_nothing() {
+fn an_owner_that_sees_less_than_half_of_the_fleet_decides_nothing() {
     let mut quota = Quota::new(BOUND);
     let ask = Ask { subject: ORGANISATION, limit: SMALL, cost: 1, draw: 0.0 };
     assert_eq!(quota.rule(ask, 0.49, Millis(0)), Verdict::Unsure);
@@ -290,7 +294,7 @@
 }
 
 #[rstest]
-fn what_comes_first_after_a_while_under_a_limit_is_granted() {
+fn a_bucket_fills_before_the_first_request() {
     let mut quota = Quota::new(Bound { window: 60_000, ..Bound::default() });
     let limit = Limit { rate: 0.5, burst: 0.25 };
     let ask = Ask { subject: ORGANISATION, limit, cost: 1, draw: 0.0 };
--- a/crates/coordination/tests/retry.rs
+++ b/crates/coordination/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: within budget, within time, never of what may not be repeated.
+//! Retries: within the budget, before the deadline, and only of requests that may run twice.
 
 use crosslane_coordination::retry::{Budget, Denial, Failure};
 use rstest::rstest;
@@ -24,17 +24,17 @@
     denial: None,
 })]
 #[case(Case {
-    name: "could not end in time",
+    name: "could not finish in time",
     failure: Failure { left: 90, ..FAILURE },
     denial: Some(Denial::Deadline),
 })]
-fn allowed(#[case] case: Case) {
+fn budget_decides_by_the_failure(#[case] case: Case) {
     let mut budget = Budget::new(10, 1);
     assert_eq!(budget.retry(case.failure).err(), case.denial, "{}", case.name);
 }
 
 #[rstest]
-fn retries_are_a_share_of_fresh_requests() {
+fn retries_are_a_share_of_new_requests() {
     let mut budget = Budget::new(10, 1);
     let mut allowed = 0;
     for _ in 0..1_000 {
@@ -46,14 +46,14 @@
 }
 
 #[rstest]
-fn the_pause_grows_and_repeats_for_a_seed() {
-    let pauses = |seed| {
+fn the_backoff_grows_and_is_reproducible() {
+    let backoffs = |seed| {
         let mut budget = Budget::new(100, seed);
-        let pause = |round| budget.retry(Failure { round, ..FAILURE }).unwrap();
-        (0..6).map(pause).collect::<Vec<_>>()
+        let backoff = |round| budget.retry(Failure { round, ..FAILURE }).unwrap();
+        (0..6).map(backoff).collect::<Vec<_>>()
     };
-    assert_eq!(pauses(7), pauses(7));
-    assert_ne!(pauses(7), pauses(8));
-    assert!(pauses(7).windows(2).all(|pair| pair[0] <= pair[1] * 2));
-    assert!(pauses(7)[5] > pauses(7)[0]);
+    assert_eq!(backoffs(7), backoffs(7));
+    assert_ne!(backoffs(7), backoffs(8));
+    assert!(backoffs(7).windows(2).all(|pair| pair[0] <= pair[1] * 2));
+    assert!(backoffs(7)[5] > backoffs(7)[0]);
 }
