--- a/crates/coordination/src/health.rs
+++ b/crates/coordination/src/health.rs
@@ -79,7 +79,7 @@
         Self { failures: self.failures * factor, successes: self.successes * factor }
     }
 
-    fn note(&mut self, outcome: Outcome) {
+    fn observe(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Good => self.successes = (self.successes + 1.0).min(MAX_COUNT),
             // Earlier successes mean nothing once the endpoint is gone.
@@ -106,7 +106,7 @@
     /// Counts an outcome.
     pub fn note(&mut self, outcome: Outcome, now: Millis) {
         self.record = self.record(now);
-        self.record.note(outcome);
+        self.record.observe(outcome);
         self.updated_at = now;
     }
 }
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -67,7 +67,7 @@
 /// What this node knows of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
-    word: Word,
+    update: Word,
     /// When this node learned of it.
     learned_at: Millis,
 }
@@ -118,15 +118,15 @@
         sent: Millis,
         now: Millis,
     ) -> Option<Change> {
-        let Entry { word, learned_at } = self.entries.get(&endpoint).copied().unwrap_or_default();
-        let applies = lower(rate, word.rate) || (rate != word.rate && sent > learned_at);
+        let Entry { update, learned_at } = self.entries.get(&endpoint).copied().unwrap_or_default();
+        let applies = lower(rate, update.rate) || (rate != update.rate && sent > learned_at);
         if !applies {
             return None;
         }
-        let change = Change { before: word.rate, rate };
+        let change = Change { before: update.rate, rate };
         *self.unsent.entry(endpoint).or_default() |= change.concerns_all_nodes();
-        let word = Word { revision: word.revision + 1, rate };
-        self.entries.insert(endpoint, Entry { word, learned_at: now });
+        let update = Word { revision: update.revision + 1, rate };
+        self.entries.insert(endpoint, Entry { update, learned_at: now });
         Some(change)
     }
 
@@ -136,18 +136,18 @@
     }
 
     /// Applies a change from another node.
-    pub fn hear(&mut self, endpoint: Tag, word: Word, now: Millis) -> Option<Change> {
-        let known = self.entries.get(&endpoint).map(|entry| entry.word).unwrap_or_default();
-        if !word.wins_over(known) {
+    pub fn hear(&mut self, endpoint: Tag, update: Word, now: Millis) -> Option<Change> {
+        let known = self.entries.get(&endpoint).map(|entry| entry.update).unwrap_or_default();
+        if !update.wins_over(known) {
             return None;
         }
-        self.entries.insert(endpoint, Entry { word, learned_at: now });
-        (word.rate != known.rate).then_some(Change { before: known.rate, rate: word.rate })
+        self.entries.insert(endpoint, Entry { update, learned_at: now });
+        (update.rate != known.rate).then_some(Change { before: known.rate, rate: update.rate })
     }
 
     /// What is known of an endpoint's limit.
     pub fn word(&self, endpoint: Tag) -> Option<Word> {
-        self.entries.get(&endpoint).map(|entry| entry.word)
+        self.entries.get(&endpoint).map(|entry| entry.update)
     }
 
     /// The limit that an endpoint names.
@@ -158,13 +158,13 @@
     /// All entries, also of limits that ended: a node that missed the end would otherwise keep the
     /// limit.
     pub fn words(&self) -> Vec<(Tag, Word)> {
-        self.entries.iter().map(|(endpoint, entry)| (*endpoint, entry.word)).collect()
+        self.entries.iter().map(|(endpoint, entry)| (*endpoint, entry.update)).collect()
     }
 
     /// Digest of the endpoints that name a limit. Rates are left out, since they may change with
     /// each answer and matter only to owners.
     pub fn digest(&self) -> u64 {
-        let named = self.entries.iter().filter(|(_, entry)| entry.word.rate.is_some());
+        let named = self.entries.iter().filter(|(_, entry)| entry.update.rate.is_some());
         named.fold(0, |digest, (endpoint, _)| digest ^ hash::of(&endpoint.0.to_le_bytes()))
     }
 
@@ -173,8 +173,8 @@
         let mut news = News::default();
         for (endpoint, to_all) in std::mem::take(&mut self.unsent) {
             if let Some(entry) = self.entries.get(&endpoint) {
-                let words = if to_all { &mut news.all } else { &mut news.owners };
-                words.push((endpoint, entry.word));
+                let updates = if to_all { &mut news.all } else { &mut news.owners };
+                updates.push((endpoint, entry.update));
             }
         }
         news
@@ -182,7 +182,7 @@
 
     /// Number of endpoints that name a limit.
     pub fn count(&self) -> usize {
-        self.entries.values().filter(|entry| entry.word.rate.is_some()).count()
+        self.entries.values().filter(|entry| entry.update.rate.is_some()).count()
     }
 
     /// Drops endpoints that are gone.
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -90,7 +90,7 @@
     /// Updates that are still to be sent to other nodes.
     outbox: Vec<(Fingerprint, Word)>,
     /// Rulings that the store may lack.
-    unsaved: BTreeMap<Fingerprint, Unsaved>,
+    unsaved_rulings: BTreeMap<Fingerprint, Unsaved>,
     /// Combined digest of all rulings.
     digest: u64,
     ruling_count: usize,
@@ -106,9 +106,9 @@
 impl Quarantine {
     /// Creates an empty quarantine at `node`.
     pub fn new(node: Tag) -> Self {
-        let (suspects, unsaved) = (BTreeMap::new(), BTreeMap::new());
+        let (suspects, unsaved_rulings) = (BTreeMap::new(), BTreeMap::new());
         let (recent_crashes, outbox, digest, ruling_count) = (Vec::new(), Vec::new(), 0, 0);
-        Self { node, suspects, recent_crashes, outbox, unsaved, digest, ruling_count }
+        Self { node, suspects, recent_crashes, outbox, unsaved_rulings, digest, ruling_count }
     }
 
     /// Whether there are no entries at all, so that no request has to be looked up.
@@ -309,7 +309,7 @@
         if !self.merge(request, ruling, now, unix_ms) {
             return false;
         }
-        self.unsaved.insert(request, Unsaved { since: now, own: true });
+        self.unsaved_rulings.insert(request, Unsaved { since: now, own: true });
         self.outbox.push((request, Word::Ruled(ruling)));
         true
     }
@@ -424,7 +424,7 @@
     ) -> bool {
         let new = self.merge(request, ruling, now, unix_ms);
         if new {
-            self.unsaved.insert(request, Unsaved { since: now, own: false });
+            self.unsaved_rulings.insert(request, Unsaved { since: now, own: false });
         }
         new
     }
@@ -453,7 +453,7 @@
     pub fn saved(&mut self, request: Fingerprint, ruling: Ruling) {
         let known = self.suspects.get(&request).and_then(|suspect| suspect.ruling);
         if known.is_none_or(|known| known <= ruling) {
-            self.unsaved.remove(&request);
+            self.unsaved_rulings.remove(&request);
         }
     }
 
@@ -463,7 +463,7 @@
         let due = |entry: &Unsaved| {
             entry.own || after.is_some_and(|after| now.since(entry.since) >= after)
         };
-        let unsaved = self.unsaved.iter().filter(|(_, entry)| due(entry));
+        let unsaved = self.unsaved_rulings.iter().filter(|(_, entry)| due(entry));
         let rulings = unsaved
             .filter_map(|(request, _)| Some((*request, self.suspects.get(request)?.ruling?)));
         rulings.collect()
@@ -538,7 +538,7 @@
             .map(|(request, _)| *request);
         let removed: Vec<Fingerprint> = removed.collect();
         self.suspects.retain(|_, suspect| !expired(suspect));
-        self.unsaved.retain(|request, _| self.suspects.contains_key(request));
+        self.unsaved_rulings.retain(|request, _| self.suspects.contains_key(request));
         self.update_digest();
         removed
     }
--- a/crates/coordination/src/quota.rs
+++ b/crates/coordination/src/quota.rs
@@ -154,14 +154,14 @@
 /// Token buckets of the limits that this node owns, or of its even shares.
 #[derive(Debug)]
 pub struct Quota {
-    bound: Bound,
+    tolerance: Bound,
     buckets: HashMap<Tag, Bucket>,
 }
 
 impl Quota {
     /// Starts without any buckets.
-    pub fn new(bound: Bound) -> Self {
-        Self { bound, buckets: HashMap::new() }
+    pub fn new(tolerance: Bound) -> Self {
+        Self { tolerance, buckets: HashMap::new() }
     }
 
     /// Creates a limit's bucket if there is none, so that it fills from now on and not only from
@@ -188,12 +188,12 @@
         let Ask { subject, limit, cost, draw } = charge;
         let cost = f64::from(cost);
         let rate = limit.rate * share;
-        let spare = self.bound.spare(limit) * share;
+        let spare = self.tolerance.spare(limit) * share;
         let overdraft = spare * OVERDRAFT;
         // A share of the burst may be less than the cost; then the cost can be saved up within a
         // window.
         let burst = limit.burst * share + spare * BURST_TOLERANCE;
-        let capacity = burst.max(cost.min(self.bound.earned(limit) * share));
+        let capacity = burst.max(cost.min(self.tolerance.earned(limit) * share));
         let bucket = self.buckets.entry(subject).or_insert(Bucket { level: 0.0, refilled_at: now });
         bucket.refill(rate, capacity, now);
         let missing = needed - bucket.level - overdraft;
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -6,7 +6,7 @@
 
 const LENGTH_MS: u64 = 3_000;
 
-fn record(holder: Option<&str>, end: u64) -> Record {
+fn record_of(holder: Option<&str>, end: u64) -> Record {
     Record { holder: holder.map(Into::into), end }
 }
 
@@ -44,7 +44,7 @@
     let steps: Vec<Step> = case
         .seen
         .iter()
-        .map(|(end, at)| lease.step(&record(case.holder, *end), Millis(*at)))
+        .map(|(end, at)| lease.step(&record_of(case.holder, *end), Millis(*at)))
         .collect();
     assert_eq!(steps.last(), Some(&case.step), "{}", case.name);
 }
@@ -58,7 +58,7 @@
 #[case(1_300)]
 fn turns_of_two_holders_are_far_enough_apart(#[case] interval_ms: u64) {
     let mut nodes = ["one", "two"].map(|name| (name, Lease::new(name.into(), LENGTH_MS)));
-    let mut record = self::record(None, 0);
+    let mut record = record_of(None, 0);
     let mut last: Option<(&str, u64)> = None;
     for now in (0..200_000).step_by(interval_ms as usize) {
         // The holder is paused now and then, so that the other one takes over.
@@ -77,7 +77,7 @@
                         "{holder} at {at}, {name} at {now}"
                     );
                 }
-                record = self::record(Some(name), end + 1);
+                record = record_of(Some(name), end + 1);
                 last = Some((name, now));
             }
         }
