--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -27,9 +27,9 @@
 //!
 //! Strikes are sets of incarnations, so nodes can merge updates in any order.
 
-use crate::ruling::{Ruling, SHUT, Verdict};
-use crate::suspect::{SHUT_AT, Suspect, TOGETHER, Trial};
-use crate::suspicion::{Standing, Strike, Word};
+use crate::ruling::{Ruling, SHUT_OUT_MS, Verdict};
+use crate::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT, Suspect, Trial};
+use crate::suspicion::{Status, Strike, Word};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -39,10 +39,10 @@
 /// milliseconds. Culprits crash their engine 34 to 115 ms after the start. With twice this time, 2
 /// of 2,920 innocent requests are shut out where engines crash in a row at 7 nodes; with this time,
 /// none of 8,626.
-pub const BLAMED: u64 = 250;
+pub const BLAME_WINDOW_MS: u64 = 250;
 
 /// Time after which a run that still goes on shows that its request is innocent, in milliseconds.
-pub const INNOCENT: u64 = 3 * BLAMED;
+pub const INNOCENT_AFTER_MS: u64 = 3 * BLAME_WINDOW_MS;
 
 /// Time for which strikes count, in milliseconds. Callers retry within their deadline of seconds,
 /// and people who try again do so within minutes.
@@ -59,7 +59,7 @@
 
 /// Time between the announcement of a trial and its start, in milliseconds. It lets a concurrent
 /// announcement for the same endpoint arrive from another node first.
-pub const ANNOUNCED: u64 = 20;
+pub const ANNOUNCE_DELAY_MS: u64 = 20;
 
 /// Time for which another node's trial holds back copies of the request, in milliseconds. Reserving
 /// memory, prefill and the first tokens take up to 2 s. The trial ends sooner if that node reports
@@ -117,17 +117,17 @@
     }
 
     /// Status of a request.
-    pub fn standing(&self, request: Fingerprint, now: Millis, unix_ms: u64) -> Standing {
+    pub fn status(&self, request: Fingerprint, now: Millis, unix_ms: u64) -> Status {
         let Some(suspect) = self.suspects.get(&request) else {
-            return Standing::Free;
+            return Status::Clear;
         };
         let on_trial = suspect.trial.is_some_and(|trial| trial.until > now);
         let since = suspect.ruling.map_or(unix_ms, |ruling| ruling.at);
         match self.is_shut_out(request, suspect) {
-            true => Standing::Shut((since + SHUT).saturating_sub(unix_ms)),
-            false if suspect.strikes.is_empty() => Standing::Free,
-            false if on_trial => Standing::OnTrial,
-            false => Standing::Suspect,
+            true => Status::ShutOut((since + SHUT_OUT_MS).saturating_sub(unix_ms)),
+            false if suspect.strikes.is_empty() => Status::Clear,
+            false if on_trial => Status::OnTrial,
+            false => Status::Suspect,
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Begins a trial of a suspect at an endpoint, if the request is one.
-    pub fn begin(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) {
+    pub fn begin_trial(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.trial = Some(Trial { by: self.node, endpoint, until: now + TRIAL_MS });
             if suspect.announced {
@@ -161,7 +161,7 @@
     }
 
     /// Ends this node's trial of a suspect.
-    pub fn rest(&mut self, request: Fingerprint, now: Millis) {
+    pub fn end_trial(&mut self, request: Fingerprint, now: Millis) {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
         };
@@ -176,21 +176,21 @@
 
     /// Whether an announced trial must yield to that of another suspect at the same endpoint. Of
     /// two that are announced at the same time, the one with the higher fingerprint yields.
-    pub fn gives_way(&self, request: Fingerprint, endpoint: Tag, now: Millis) -> bool {
+    pub fn must_yield(&self, request: Fingerprint, endpoint: Tag, now: Millis) -> bool {
         let lower = self.suspects.range(..request).filter_map(|(_, suspect)| suspect.trial);
         lower.filter(|trial| trial.until > now).any(|trial| trial.endpoint == endpoint)
     }
 
     /// Endpoints at which other suspects are on trial.
-    pub fn trials(&self, request: Fingerprint, now: Millis) -> Vec<Tag> {
+    pub fn other_trials(&self, request: Fingerprint, now: Millis) -> Vec<Tag> {
         let others = self.suspects.iter().filter(|(fingerprint, _)| **fingerprint != request);
         let trials = others.filter_map(|(_, suspect)| suspect.trial);
         trials.filter(|trial| trial.until > now).map(|trial| trial.endpoint).collect()
     }
 
     /// Records that an endpoint crashed right after a request had started there.
-    pub fn strike(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) -> Strike {
-        self.ended(endpoint, now);
+    pub fn record_strike(&mut self, request: Fingerprint, endpoint: Tag, now: Millis) -> Strike {
+        self.record_crash(endpoint, now);
         let attributed = self.is_attributed_elsewhere(request, endpoint);
         let known = self.suspects.contains_key(&request);
         if !known && !self.has_room() {
@@ -203,26 +203,26 @@
                 suspect.last_strike_at = now;
             }
             self.restore_attributed(request);
-            return Strike::Explained;
+            return Strike::Attributed;
         }
         if !suspect.add_strike(endpoint) {
-            return Strike::Known;
+            return Strike::Duplicate;
         }
         (suspect.last_strike_at, suspect.saw_strike, suspect.saw_last_strike) = (now, true, true);
         self.excuse_coincidences();
         self.restore_attributed(request);
         let Some(suspect) = self.suspects.get_mut(&request) else {
-            return Strike::Chance;
+            return Strike::Coincidence;
         };
         let strikes = suspect.strikes.len();
         if strikes == 0 {
-            return Strike::Chance;
+            return Strike::Coincidence;
         }
         if strikes > 1 || self.recent_crashes.len() <= JOINT_CRASHES {
             suspect.announced = true;
             self.outbox.push((request, Word::Struck(suspect.strikes.clone())));
         }
-        Strike::Held(strikes)
+        Strike::Counted(strikes)
     }
 
     /// Whether an endpoint crashed under another request that is shut out.
@@ -234,7 +234,7 @@
     /// Shuts out requests with enough strikes, after the time in which joint crashes may still
     /// become known. Until then they are refused without a ruling. Returns those that are newly
     /// shut out.
-    pub fn settle(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
+    pub fn shut_out_due(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
         if self.ruling_count >= MAX_RULINGS {
             return Vec::new();
         }
@@ -247,7 +247,7 @@
 
     /// Lifts rulings on requests that are superseded by another one that is shut out by now.
     /// Returns these requests.
-    pub fn acquit(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
+    pub fn lift_superseded(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
         let ruled_out = || self.suspects.values().filter(|suspect| suspect.is_ruled_out());
         let recent = |suspect: &&Suspect| {
             (suspect.decision_delay_ms()..LIFT_WINDOW_MS)
@@ -269,9 +269,9 @@
 
     /// Records that an endpoint went down, whatever ran there. Excuses requests with a strike from
     /// just one of many endpoints that went down together.
-    pub fn ended(&mut self, endpoint: Tag, now: Millis) {
+    pub fn record_crash(&mut self, endpoint: Tag, now: Millis) {
         self.suspects.values_mut().for_each(|suspect| suspect.record_crash_nearby(endpoint, now));
-        self.recent_crashes.retain(|(_, at)| now.since(*at) < TOGETHER);
+        self.recent_crashes.retain(|(_, at)| now.since(*at) < JOINT_CRASH_WINDOW_MS);
         if self.recent_crashes.iter().all(|crash| crash.0 != endpoint) {
             self.recent_crashes.push((endpoint, now));
         }
@@ -355,7 +355,7 @@
     }
 
     /// Applies an update from another node. Returns whether it was a new ruling.
-    pub fn hear(
+    pub fn apply(
         &mut self,
         from: Tag,
         request: Fingerprint,
@@ -368,7 +368,7 @@
                 self.apply_strikes(request, &endpoints, now);
                 // The last crash is new; the earlier ones were reported when they happened.
                 if let Some(last) = endpoints.last() {
-                    self.ended(*last, now);
+                    self.record_crash(*last, now);
                 }
             }
             Word::Known(endpoints) => self.apply_strikes(request, &endpoints, now),
@@ -392,7 +392,7 @@
                     self.suspects.remove(&request);
                 }
             }
-            Word::Ruled(ruling) => return self.take(request, ruling, now, unix_ms),
+            Word::Ruled(ruling) => return self.merge_ruling(request, ruling, now, unix_ms),
         }
         false
     }
@@ -415,7 +415,7 @@
     }
 
     /// Applies a ruling of another node or of the store; true if it is new.
-    pub fn take(
+    pub fn merge_ruling(
         &mut self,
         request: Fingerprint,
         ruling: Ruling,
@@ -433,7 +433,7 @@
     fn merge(&mut self, request: Fingerprint, ruling: Ruling, now: Millis, unix_ms: u64) -> bool {
         let known = self.suspects.get(&request).and_then(|suspect| suspect.ruling);
         let full = known.is_none() && self.ruling_count >= MAX_RULINGS;
-        if full || ruling.over(unix_ms) || known.is_some_and(|known| known >= ruling) {
+        if full || ruling.is_expired(unix_ms) || known.is_some_and(|known| known >= ruling) {
             return false;
         }
         let suspect = self.suspects.entry(request).or_default();
@@ -450,7 +450,7 @@
     }
 
     /// Records that the store has a ruling.
-    pub fn saved(&mut self, request: Fingerprint, ruling: Ruling) {
+    pub fn mark_saved(&mut self, request: Fingerprint, ruling: Ruling) {
         let known = self.suspects.get(&request).and_then(|suspect| suspect.ruling);
         if known.is_none_or(|known| known <= ruling) {
             self.unsaved_rulings.remove(&request);
@@ -459,7 +459,7 @@
 
     /// Rulings to write to the store: this node's own at once, those of other nodes `after` a time
     /// in milliseconds if this node is responsible for them.
-    pub fn unsaved(&self, now: Millis, after: Option<u64>) -> Vec<(Fingerprint, Ruling)> {
+    pub fn rulings_to_save(&self, now: Millis, after: Option<u64>) -> Vec<(Fingerprint, Ruling)> {
         let due = |entry: &Unsaved| {
             entry.own || after.is_some_and(|after| now.since(entry.since) >= after)
         };
@@ -470,7 +470,7 @@
     }
 
     /// Strikes of requests without a ruling, for a node that starts.
-    pub fn known(&self) -> Vec<(Fingerprint, Word)> {
+    pub fn known_strikes(&self) -> Vec<(Fingerprint, Word)> {
         let suspects = self
             .suspects
             .iter()
@@ -497,17 +497,17 @@
     }
 
     /// Queues an update for other nodes.
-    pub fn tell(&mut self, request: Fingerprint, update: Word) {
+    pub fn queue_update(&mut self, request: Fingerprint, update: Word) {
         self.outbox.push((request, update));
     }
 
     /// Takes the queued updates for other nodes.
-    pub fn words(&mut self) -> Vec<(Fingerprint, Word)> {
+    pub fn take_outbox(&mut self) -> Vec<(Fingerprint, Word)> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Number of requests that are shut out.
-    pub fn shut_count(&self) -> usize {
+    pub fn shut_out_count(&self) -> usize {
         self.suspects
             .iter()
             .filter(|(request, suspect)| self.is_shut_out(**request, suspect))
@@ -518,8 +518,8 @@
     /// strikes but one, so its next crash shuts it out again.
     pub fn expire(&mut self, now: Millis, unix_ms: u64) -> Vec<Fingerprint> {
         for suspect in self.suspects.values_mut() {
-            if suspect.ruling.take_if(|ruling| ruling.over(unix_ms)).is_some() {
-                suspect.strikes.truncate(SHUT_AT - 1);
+            if suspect.ruling.take_if(|ruling| ruling.is_expired(unix_ms)).is_some() {
+                suspect.strikes.truncate(STRIKES_TO_SHUT_OUT - 1);
                 suspect.last_strike_at = now;
             }
         }
--- a/crates/coordination/src/ruling.rs
+++ b/crates/coordination/src/ruling.rs
@@ -10,7 +10,7 @@
 
 /// Time for which a request is shut out, in milliseconds. A repaired model or service is tried
 /// again within the hour, and the next crash shuts the request out again.
-pub const SHUT: u64 = 3_600_000;
+pub const SHUT_OUT_MS: u64 = 3_600_000;
 
 /// What a ruling says about a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -35,8 +35,8 @@
 
 impl Ruling {
     /// Whether it is no longer in force.
-    pub fn over(&self, unix_ms: u64) -> bool {
-        self.at.saturating_add(SHUT) <= unix_ms
+    pub fn is_expired(&self, unix_ms: u64) -> bool {
+        self.at.saturating_add(SHUT_OUT_MS) <= unix_ms
     }
 
     /// Its part in the digest of all rulings.
--- a/crates/coordination/src/suspect.rs
+++ b/crates/coordination/src/suspect.rs
@@ -6,7 +6,7 @@
 
 /// Number of strikes that shut a request out. A second crash may be coincidence; with 40 engines of
 /// which 30 crash within 10 s, three in a row hit one request in 150,000.
-pub const SHUT_AT: usize = 3;
+pub const STRIKES_TO_SHUT_OUT: usize = 3;
 
 /// Number of crashes that a request must have been present at to be a possible cause of crashes
 /// under another one. Being present at one is coincidence where many requests run.
@@ -16,7 +16,7 @@
 /// joint crashes, where 40 % of the engines crash every 600 ms, 17 of 2,934 innocent requests are
 /// shut out at 7 nodes and 142 of 23,817 at 61 nodes (with strikes up to 500 ms after the start);
 /// with it, 2 and none.
-pub const TOGETHER: u64 = 60;
+pub const JOINT_CRASH_WINDOW_MS: u64 = 60;
 
 /// Delay after the last strike before a node rules that saw an earlier strike but not the last one,
 /// in milliseconds.
@@ -75,7 +75,7 @@
 
     /// Whether it has enough strikes to be shut out.
     pub fn has_enough_strikes(&self) -> bool {
-        self.strikes.len() >= SHUT_AT
+        self.strikes.len() >= STRIKES_TO_SHUT_OUT
     }
 
     /// Whether it may have caused crashes that also count against other requests: it was present at
@@ -138,7 +138,7 @@
     /// Time for which this node leaves the ruling to nodes that saw more, in milliseconds.
     pub fn decision_delay_ms(&self) -> u64 {
         match (self.saw_last_strike, self.saw_strike) {
-            (true, _) => TOGETHER,
+            (true, _) => JOINT_CRASH_WINDOW_MS,
             (false, true) => WITNESS_DELAY_MS,
             (false, false) => BYSTANDER_DELAY_MS,
         }
--- a/crates/coordination/src/suspicion.rs
+++ b/crates/coordination/src/suspicion.rs
@@ -28,16 +28,16 @@
 pub enum Strike {
     /// As a strike; the request has this many by now.
     #[display("held")]
-    Held(usize),
+    Counted(usize),
     /// It is counted already.
     #[display("known")]
-    Known,
+    Duplicate,
     /// It is attributed to another request, which is shut out.
     #[display("another request is shut out for it")]
-    Explained,
+    Attributed,
     /// Many endpoints went down together.
     #[display("many endpoints ended together")]
-    Chance,
+    Coincidence,
     /// There is no room for another suspect.
     #[display("too many suspects")]
     Full,
@@ -45,13 +45,13 @@
 
 /// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// It has no strikes.
-    Free,
+    Clear,
     /// It has strikes; one copy at a time may run.
     Suspect,
     /// Another copy of it is on trial.
     OnTrial,
     /// It is shut out for this many more milliseconds.
-    Shut(u64),
+    ShutOut(u64),
 }
--- a/crates/coordination/tests/crashes/mod.rs
+++ b/crates/coordination/tests/crashes/mod.rs
@@ -5,8 +5,10 @@
 //! messages take some milliseconds, and some get lost. Innocent requests run at the same engines,
 //! engines also crash on their own, and each interrupted request is retried.
 
-use crosslane_coordination::quarantine::{ANNOUNCED, BLAMED, INNOCENT, Quarantine};
-use crosslane_coordination::suspicion::{Standing, Word};
+use crosslane_coordination::quarantine::{
+    ANNOUNCE_DELAY_MS, BLAME_WINDOW_MS, INNOCENT_AFTER_MS, Quarantine,
+};
+use crosslane_coordination::suspicion::{Status, Word};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -228,8 +230,8 @@
         let culprits: Vec<Fingerprint> = (0..self.case.culprits).map(fingerprint_of).collect();
         let innocent = self.ruled.iter().filter(|request| !culprits.contains(request));
         let shut = |request: &&Fingerprint| {
-            let status = |node: &Quarantine| node.standing(**request, Millis(LENGTH_MS), UNIX_MS);
-            self.nodes.iter().any(|node| matches!(status(node), Standing::Shut(_)))
+            let status = |node: &Quarantine| node.status(**request, Millis(LENGTH_MS), UNIX_MS);
+            self.nodes.iter().any(|node| matches!(status(node), Status::ShutOut(_)))
         };
         self.outcome.ruled = innocent.clone().count();
         self.outcome.still_shut = innocent.filter(shut).count();
@@ -291,9 +293,9 @@
         };
         let rulings =
             self.nodes[from].rulings().map(|(request, ruling)| (request, Word::Ruled(ruling)));
-        let updates: Vec<_> = rulings.chain(self.nodes[from].known()).collect();
+        let updates: Vec<_> = rulings.chain(self.nodes[from].known_strikes()).collect();
         for (request, update) in updates {
-            self.nodes[node].hear(Tag(from as u64), request, update, Millis(now), UNIX_MS);
+            self.nodes[node].apply(Tag(from as u64), request, update, Millis(now), UNIX_MS);
         }
     }
 
@@ -314,21 +316,21 @@
         if now < self.serve_from[node] {
             return;
         }
-        match self.nodes[node].standing(fingerprint_of(request), Millis(now), UNIX_MS) {
-            Standing::Free | Standing::Suspect => {
+        match self.nodes[node].status(fingerprint_of(request), Millis(now), UNIX_MS) {
+            Status::Clear | Status::Suspect => {
                 let Some(choice) = self.choose(now, node, request) else { return };
                 let after = self.random.random_range(self.case.starts.clone());
                 self.at(now + after, Event::Starts { node, request, attempt, choice });
             }
-            Standing::Shut(_) if request >= self.case.culprits => self.outcome.refused += 1,
-            Standing::Shut(_) | Standing::OnTrial => {}
+            Status::ShutOut(_) if request >= self.case.culprits => self.outcome.refused += 1,
+            Status::ShutOut(_) | Status::OnTrial => {}
         }
     }
 
     /// Chooses an engine for a request. With `reserves` this happens before the prefill.
     fn choose(&mut self, now: u64, node: usize, request: usize) -> Option<Choice> {
-        let taken = match self.nodes[node].standing(fingerprint_of(request), Millis(now), UNIX_MS) {
-            Standing::Suspect => self.nodes[node].trials(fingerprint_of(request), Millis(now)),
+        let taken = match self.nodes[node].status(fingerprint_of(request), Millis(now), UNIX_MS) {
+            Status::Suspect => self.nodes[node].other_trials(fingerprint_of(request), Millis(now)),
             _ => Vec::new(),
         };
         let up = (0..self.engines.len()).filter(|engine| self.engines[*engine].up);
@@ -355,8 +357,8 @@
             return;
         }
         let (at, fingerprint) = (Millis(now), fingerprint_of(request));
-        let status = self.nodes[node].standing(fingerprint, at, UNIX_MS);
-        if matches!(status, Standing::Shut(_) | Standing::OnTrial) {
+        let status = self.nodes[node].status(fingerprint, at, UNIX_MS);
+        if matches!(status, Status::ShutOut(_) | Status::OnTrial) {
             return;
         }
         let chosen =
@@ -364,14 +366,14 @@
         let Some(Choice { engine, incarnation }) = chosen else { return };
         let replaced = !self.engines[engine].up || self.engines[engine].incarnation != incarnation;
         let next_to_suspect =
-            self.nodes[node].trials(fingerprint, at).contains(&tag(engine, incarnation));
-        if replaced || (self.case.reserves && status == Standing::Suspect && next_to_suspect) {
+            self.nodes[node].other_trials(fingerprint, at).contains(&tag(engine, incarnation));
+        if replaced || (self.case.reserves && status == Status::Suspect && next_to_suspect) {
             return self.start(now, node, request, attempt);
         }
         let choice = Choice { engine, incarnation };
-        if status == Standing::Suspect {
-            self.nodes[node].begin(fingerprint, tag(engine, incarnation), at);
-            self.at(now + ANNOUNCED, Event::Announced { node, request, attempt, choice });
+        if status == Status::Suspect {
+            self.nodes[node].begin_trial(fingerprint, tag(engine, incarnation), at);
+            self.at(now + ANNOUNCE_DELAY_MS, Event::Announced { node, request, attempt, choice });
         } else {
             self.go(now, node, request, attempt, choice);
         }
@@ -385,8 +387,8 @@
         if now < self.serve_from[node] {
             return;
         }
-        if replaced || self.nodes[node].gives_way(fingerprint, tag(engine, incarnation), at) {
-            self.nodes[node].rest(fingerprint, at);
+        if replaced || self.nodes[node].must_yield(fingerprint, tag(engine, incarnation), at) {
+            self.nodes[node].end_trial(fingerprint, at);
             return self.start(now, node, request, attempt);
         }
         self.go(now, node, request, attempt, choice);
@@ -451,12 +453,12 @@
             return;
         }
         let Check { node, request, tag, ran, .. } = *check;
-        self.nodes[node].ended(tag, Millis(now));
+        self.nodes[node].record_crash(tag, Millis(now));
         match ran {
-            ran if ran <= BLAMED => {
-                self.nodes[node].strike(fingerprint_of(request), tag, Millis(now));
+            ran if ran <= BLAME_WINDOW_MS => {
+                self.nodes[node].record_strike(fingerprint_of(request), tag, Millis(now));
             }
-            ran if ran >= INNOCENT => {
+            ran if ran >= INNOCENT_AFTER_MS => {
                 self.nodes[node].clear(fingerprint_of(request));
             }
             _ => {}
@@ -471,7 +473,7 @@
             self.strike(now, &check);
         }
         let Check { node, request, attempt, .. } = check;
-        self.nodes[node].rest(fingerprint_of(request), Millis(now));
+        self.nodes[node].end_trial(fingerprint_of(request), Millis(now));
         let next = attempt + 1;
         match next {
             next if next > CALLS * self.case.attempts => {}
@@ -508,7 +510,7 @@
             Event::CheckedAgain(check) => self.strike(now, &check),
             Event::Synced { node } => self.synced(now, node),
             Event::Receives { node, from, request, update } => {
-                self.nodes[node].hear(from, request, update, Millis(now), UNIX_MS);
+                self.nodes[node].apply(from, request, update, Millis(now), UNIX_MS);
             }
             Event::Back { engine } => {
                 let engine = &mut self.engines[engine];
@@ -519,18 +521,18 @@
 
     fn settle(&mut self, now: u64) {
         if now.is_multiple_of(RULING_INTERVAL_MS) {
-            let settled = self.nodes.iter_mut().map(|node| node.settle(Millis(now), UNIX_MS));
+            let settled = self.nodes.iter_mut().map(|node| node.shut_out_due(Millis(now), UNIX_MS));
             let ruled: Vec<Fingerprint> = settled.flatten().collect();
             self.ruled.extend(ruled);
             self.nodes.iter_mut().for_each(|node| {
-                node.acquit(Millis(now), UNIX_MS);
+                node.lift_superseded(Millis(now), UNIX_MS);
             });
         }
     }
 
     fn send_updates(&mut self, now: u64) {
         for from in 0..self.nodes.len() {
-            for (request, update) in self.nodes[from].words() {
+            for (request, update) in self.nodes[from].take_outbox() {
                 for node in (0..self.nodes.len()).filter(|other| *other != from) {
                     if !self.random.random_bool(MESSAGE_LOSS) {
                         let after = self.random.random_range(LATENCY_MS);
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -2,9 +2,9 @@
 //! nodes are sent.
 
 use crosslane_coordination::quarantine::Quarantine;
-use crosslane_coordination::ruling::{Ruling, SHUT, Verdict};
-use crosslane_coordination::suspect::{SHUT_AT, TOGETHER};
-use crosslane_coordination::suspicion::{Standing, Word};
+use crosslane_coordination::ruling::{Ruling, SHUT_OUT_MS, Verdict};
+use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
+use crosslane_coordination::suspicion::{Status, Word};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -26,33 +26,33 @@
 fn record_strikes(quarantine: &mut Quarantine, name: &str, endpoints: &[u64]) {
     for (second, endpoint) in endpoints.iter().enumerate() {
         let at = Millis(second as u64 * 1_000);
-        quarantine.strike(request(name), Tag(*endpoint), at);
-        quarantine.settle(at + TOGETHER, UNIX_MS);
+        quarantine.record_strike(request(name), Tag(*endpoint), at);
+        quarantine.shut_out_due(at + JOINT_CRASH_WINDOW_MS, UNIX_MS);
     }
 }
 
-fn status_of(quarantine: &Quarantine, name: &str) -> Standing {
-    quarantine.standing(request(name), Millis(5_000), UNIX_MS)
+fn status_of(quarantine: &Quarantine, name: &str) -> Status {
+    quarantine.status(request(name), Millis(5_000), UNIX_MS)
 }
 
 struct Strikes {
     name: &'static str,
     endpoints: &'static [u64],
-    status: Standing,
+    status: Status,
 }
 
 #[rstest]
-#[case(Strikes { name: "none", endpoints: &[], status: Standing::Free })]
-#[case(Strikes { name: "one", endpoints: &[11], status: Standing::Suspect })]
-#[case(Strikes { name: "two", endpoints: &[11, 12], status: Standing::Suspect })]
-#[case(Strikes { name: "one endpoint three times", endpoints: &[11, 11, 11], status: Standing::Suspect })]
-#[case(Strikes { name: "three", endpoints: &[11, 12, 13], status: Standing::Shut(SHUT) })]
-#[case(Strikes { name: "more", endpoints: &[11, 12, 13, 14], status: Standing::Shut(SHUT) })]
+#[case(Strikes { name: "none", endpoints: &[], status: Status::Clear })]
+#[case(Strikes { name: "one", endpoints: &[11], status: Status::Suspect })]
+#[case(Strikes { name: "two", endpoints: &[11, 12], status: Status::Suspect })]
+#[case(Strikes { name: "one endpoint three times", endpoints: &[11, 11, 11], status: Status::Suspect })]
+#[case(Strikes { name: "three", endpoints: &[11, 12, 13], status: Status::ShutOut(SHUT_OUT_MS) })]
+#[case(Strikes { name: "more", endpoints: &[11, 12, 13, 14], status: Status::ShutOut(SHUT_OUT_MS) })]
 fn crashes_of_three_incarnations_shut_a_request_out(#[case] case: Strikes) {
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "a", case.endpoints);
     assert_eq!(status_of(&quarantine, "a"), case.status, "{}", case.name);
-    assert_eq!(status_of(&quarantine, "b"), Standing::Free, "{}", case.name);
+    assert_eq!(status_of(&quarantine, "b"), Status::Clear, "{}", case.name);
 }
 
 /// Where few engines decode, a stream that is interrupted together with a culprit's is resumed next
@@ -63,12 +63,12 @@
     let mut quarantine = quarantine();
     for (second, endpoint) in [11, 12, 13].into_iter().enumerate() {
         let at = Millis(second as u64 * 1_000);
-        quarantine.strike(request("companion"), Tag(endpoint), at);
-        quarantine.strike(request("culprit"), Tag(endpoint), at + 9);
-        quarantine.settle(at + TOGETHER + 9, UNIX_MS);
+        quarantine.record_strike(request("companion"), Tag(endpoint), at);
+        quarantine.record_strike(request("culprit"), Tag(endpoint), at + 9);
+        quarantine.shut_out_due(at + JOINT_CRASH_WINDOW_MS + 9, UNIX_MS);
     }
-    quarantine.strike(request("culprit"), Tag(14), Millis(4_000));
-    assert!(matches!(status_of(&quarantine, "culprit"), Standing::Shut(_)));
+    quarantine.record_strike(request("culprit"), Tag(14), Millis(4_000));
+    assert!(matches!(status_of(&quarantine, "culprit"), Status::ShutOut(_)));
 }
 
 /// An innocent stream that is interrupted with the culprit three times must not be shut out because
@@ -78,15 +78,15 @@
     let mut quarantine = quarantine();
     for (second, endpoint) in [11, 12, 13].into_iter().enumerate() {
         let at = Millis(second as u64 * 1_000);
-        quarantine.strike(request("companion"), Tag(endpoint), at);
-        quarantine.strike(request("culprit"), Tag(endpoint), at + 9);
-        assert!(quarantine.settle(at + TOGETHER + 9, UNIX_MS).is_empty());
+        quarantine.record_strike(request("companion"), Tag(endpoint), at);
+        quarantine.record_strike(request("culprit"), Tag(endpoint), at + 9);
+        assert!(quarantine.shut_out_due(at + JOINT_CRASH_WINDOW_MS + 9, UNIX_MS).is_empty());
     }
-    assert_eq!(status_of(&quarantine, "companion"), Standing::Suspect);
-    assert_eq!(status_of(&quarantine, "culprit"), Standing::Suspect);
+    assert_eq!(status_of(&quarantine, "companion"), Status::Suspect);
+    assert_eq!(status_of(&quarantine, "culprit"), Status::Suspect);
     // One of them completes by itself.
     quarantine.clear(request("companion"));
-    assert_eq!(quarantine.settle(Millis(5_000), UNIX_MS), [request("culprit")]);
+    assert_eq!(quarantine.shut_out_due(Millis(5_000), UNIX_MS), [request("culprit")]);
 }
 
 /// If the culprit's node checks the endpoints too early and finds them alive, only its companion
@@ -94,17 +94,17 @@
 #[rstest]
 fn a_companion_is_not_shut_out_for_crashes_during_trials_of_the_culprit() {
     let mut quarantine = quarantine();
-    quarantine.strike(request("culprit"), Tag(11), Millis(0));
-    quarantine.strike(request("companion"), Tag(11), Millis(0));
+    quarantine.record_strike(request("culprit"), Tag(11), Millis(0));
+    quarantine.record_strike(request("companion"), Tag(11), Millis(0));
     for endpoint in [12, 13] {
         let at = Millis(endpoint * 1_000);
-        quarantine.hear(THERE, request("culprit"), Word::Tried(Tag(endpoint)), at, UNIX_MS);
-        quarantine.hear(THERE, request("culprit"), Word::Rested, at + 40, UNIX_MS);
-        quarantine.strike(request("companion"), Tag(endpoint), at + 41);
-        quarantine.rest(request("companion"), at + 41);
+        quarantine.apply(THERE, request("culprit"), Word::Tried(Tag(endpoint)), at, UNIX_MS);
+        quarantine.apply(THERE, request("culprit"), Word::Rested, at + 40, UNIX_MS);
+        quarantine.record_strike(request("companion"), Tag(endpoint), at + 41);
+        quarantine.end_trial(request("companion"), at + 41);
     }
-    assert!(quarantine.settle(Millis(14_000), UNIX_MS).is_empty());
-    assert_eq!(status_of(&quarantine, "companion"), Standing::Suspect);
+    assert!(quarantine.shut_out_due(Millis(14_000), UNIX_MS).is_empty());
+    assert_eq!(status_of(&quarantine, "companion"), Status::Suspect);
 }
 
 /// If the culprit's part in the crashes that its companion is shut out for is forgotten within 2 s,
@@ -115,25 +115,28 @@
     record_strikes(&mut quarantine, "companion", &[11, 12, 13]);
     record_strikes(&mut quarantine, "culprit", &[11, 12, 13]);
     quarantine.expire(Millis(9_000), UNIX_MS);
-    quarantine.strike(request("culprit"), Tag(14), Millis(9_000));
-    let status = quarantine.standing(request("culprit"), Millis(9_000), UNIX_MS);
-    assert!(matches!(status, Standing::Shut(_)));
+    quarantine.record_strike(request("culprit"), Tag(14), Millis(9_000));
+    let status = quarantine.status(request("culprit"), Millis(9_000), UNIX_MS);
+    assert!(matches!(status, Status::ShutOut(_)));
 }
 
 #[rstest]
 fn the_ruling_on_a_companion_is_lifted_once_the_culprit_is_shut_out() {
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "companion", &[11, 12, 13]);
-    assert!(matches!(status_of(&quarantine, "companion"), Standing::Shut(_)));
+    assert!(matches!(status_of(&quarantine, "companion"), Status::ShutOut(_)));
     for endpoint in [11, 12, 13, 14] {
-        quarantine.strike(request("culprit"), Tag(endpoint), Millis(4_000 + endpoint * 100));
+        quarantine.record_strike(request("culprit"), Tag(endpoint), Millis(4_000 + endpoint * 100));
     }
     let now = Millis(5_600);
-    assert_eq!(quarantine.settle(now, UNIX_MS), [request("culprit")]);
-    assert_eq!(quarantine.acquit(now + TOGETHER, UNIX_MS), [request("companion")]);
-    assert_eq!(status_of(&quarantine, "companion"), Standing::Free);
-    assert!(matches!(status_of(&quarantine, "culprit"), Standing::Shut(_)));
-    assert!(quarantine.acquit(now + 2 * TOGETHER, UNIX_MS).is_empty());
+    assert_eq!(quarantine.shut_out_due(now, UNIX_MS), [request("culprit")]);
+    assert_eq!(
+        quarantine.lift_superseded(now + JOINT_CRASH_WINDOW_MS, UNIX_MS),
+        [request("companion")]
+    );
+    assert_eq!(status_of(&quarantine, "companion"), Status::Clear);
+    assert!(matches!(status_of(&quarantine, "culprit"), Status::ShutOut(_)));
+    assert!(quarantine.lift_superseded(now + 2 * JOINT_CRASH_WINDOW_MS, UNIX_MS).is_empty());
 }
 
 #[rstest]
@@ -142,25 +145,31 @@
     let now = Millis(5_000);
     for quarantine in [&mut one, &mut other] {
         for name in ["a", "b"] {
-            quarantine.hear(Tag(3), request(name), Word::Struck(vec![Tag(11)]), Millis(0), UNIX_MS);
+            quarantine.apply(
+                Tag(3),
+                request(name),
+                Word::Struck(vec![Tag(11)]),
+                Millis(0),
+                UNIX_MS,
+            );
         }
     }
-    one.begin(request("a"), Tag(12), now);
-    other.begin(request("b"), Tag(12), now);
-    let (from_one, from_other) = (one.words(), other.words());
+    one.begin_trial(request("a"), Tag(12), now);
+    other.begin_trial(request("b"), Tag(12), now);
+    let (from_one, from_other) = (one.take_outbox(), other.take_outbox());
     from_other.into_iter().for_each(|(request, update)| {
-        one.hear(THERE, request, update, now + 5, UNIX_MS);
+        one.apply(THERE, request, update, now + 5, UNIX_MS);
     });
     from_one.into_iter().for_each(|(request, update)| {
-        other.hear(HERE, request, update, now + 5, UNIX_MS);
+        other.apply(HERE, request, update, now + 5, UNIX_MS);
     });
     let later = now + 20;
     let yields = [
-        one.gives_way(request("a"), Tag(12), later),
-        other.gives_way(request("b"), Tag(12), later),
+        one.must_yield(request("a"), Tag(12), later),
+        other.must_yield(request("b"), Tag(12), later),
     ];
     assert_eq!(yields.iter().filter(|yielded| **yielded).count(), 1);
-    assert!(!one.gives_way(request("a"), Tag(13), later));
+    assert!(!one.must_yield(request("a"), Tag(13), later));
 }
 
 /// A node that starts without knowing earlier strikes lets the culprit crash three more endpoints
@@ -169,11 +178,11 @@
 fn a_node_that_starts_receives_known_strikes() {
     let (mut old, mut new) = (quarantine(), Quarantine::new(THERE));
     record_strikes(&mut old, "a", &[11, 12]);
-    for (request, update) in old.known() {
-        new.hear(HERE, request, update, Millis(5_000), UNIX_MS);
+    for (request, update) in old.known_strikes() {
+        new.apply(HERE, request, update, Millis(5_000), UNIX_MS);
     }
-    new.strike(request("a"), Tag(13), Millis(6_000));
-    assert!(matches!(status_of(&new, "a"), Standing::Shut(_)));
+    new.record_strike(request("a"), Tag(13), Millis(6_000));
+    assert!(matches!(status_of(&new, "a"), Status::ShutOut(_)));
 }
 
 struct JointCrash {
@@ -181,20 +190,20 @@
     /// Endpoints that go down within a moment, and those at which the request ran.
     crashed: &'static [u64],
     ran_at: &'static [u64],
-    status: Standing,
+    status: Status,
 }
 
 #[rstest]
-#[case(JointCrash { name: "alone", crashed: &[11], ran_at: &[11], status: Standing::Suspect })]
-#[case(JointCrash { name: "two", crashed: &[11, 12], ran_at: &[11], status: Standing::Suspect })]
-#[case(JointCrash { name: "many", crashed: &[11, 12, 13, 14], ran_at: &[11], status: Standing::Free })]
-#[case(JointCrash { name: "many, two of them under it", crashed: &[11, 12, 13, 14], ran_at: &[11, 12], status: Standing::Suspect })]
+#[case(JointCrash { name: "alone", crashed: &[11], ran_at: &[11], status: Status::Suspect })]
+#[case(JointCrash { name: "two", crashed: &[11, 12], ran_at: &[11], status: Status::Suspect })]
+#[case(JointCrash { name: "many", crashed: &[11, 12, 13, 14], ran_at: &[11], status: Status::Clear })]
+#[case(JointCrash { name: "many, two of them under it", crashed: &[11, 12, 13, 14], ran_at: &[11, 12], status: Status::Suspect })]
 fn a_single_strike_among_joint_crashes_is_excused(#[case] case: JointCrash) {
     let mut quarantine = quarantine();
     for endpoint in case.crashed {
-        quarantine.ended(Tag(*endpoint), Millis(1_000));
+        quarantine.record_crash(Tag(*endpoint), Millis(1_000));
         if case.ran_at.contains(endpoint) {
-            quarantine.strike(request("a"), Tag(*endpoint), Millis(1_000));
+            quarantine.record_strike(request("a"), Tag(*endpoint), Millis(1_000));
         }
     }
     assert_eq!(status_of(&quarantine, "a"), case.status, "{}", case.name);
@@ -204,10 +213,10 @@
 fn excused_crashes_expire_soon() {
     let mut quarantine = quarantine();
     for endpoint in [11, 12, 13] {
-        quarantine.ended(Tag(endpoint), Millis(1_000));
+        quarantine.record_crash(Tag(endpoint), Millis(1_000));
     }
-    quarantine.strike(request("a"), Tag(13), Millis(1_000));
-    assert!(quarantine.words().is_empty());
+    quarantine.record_strike(request("a"), Tag(13), Millis(1_000));
+    assert!(quarantine.take_outbox().is_empty());
     quarantine.expire(Millis(4_000), UNIX_MS);
     assert!(quarantine.is_empty());
 }
@@ -216,15 +225,15 @@
 fn a_ruling_waits_for_joint_crashes() {
     let mut quarantine = quarantine();
     for (second, endpoint) in [11, 12, 13].into_iter().enumerate() {
-        quarantine.strike(request("a"), Tag(endpoint), Millis(second as u64 * 1_000));
+        quarantine.record_strike(request("a"), Tag(endpoint), Millis(second as u64 * 1_000));
     }
-    assert!(matches!(status_of(&quarantine, "a"), Standing::Shut(_)));
-    assert!(quarantine.settle(Millis(2_001), UNIX_MS).is_empty());
+    assert!(matches!(status_of(&quarantine, "a"), Status::ShutOut(_)));
+    assert!(quarantine.shut_out_due(Millis(2_001), UNIX_MS).is_empty());
     for endpoint in [21, 22] {
-        quarantine.ended(Tag(endpoint), Millis(2_010));
+        quarantine.record_crash(Tag(endpoint), Millis(2_010));
     }
-    assert_eq!(status_of(&quarantine, "a"), Standing::Suspect);
-    assert!(quarantine.settle(Millis(9_000), UNIX_MS).is_empty());
+    assert_eq!(status_of(&quarantine, "a"), Status::Suspect);
+    assert!(quarantine.shut_out_due(Millis(9_000), UNIX_MS).is_empty());
 }
 
 #[rstest]
@@ -233,7 +242,7 @@
     record_strikes(&mut quarantine, "a", &[11, 12]);
     assert!(quarantine.clear(request("a")));
     record_strikes(&mut quarantine, "a", &[13]);
-    assert_eq!(status_of(&quarantine, "a"), Standing::Suspect);
+    assert_eq!(status_of(&quarantine, "a"), Status::Suspect);
 }
 
 #[rstest]
@@ -241,11 +250,11 @@
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "beside", &[11, 12]);
     record_strikes(&mut quarantine, "culprit", &[11, 12, 13]);
-    assert_eq!(status_of(&quarantine, "beside"), Standing::Free);
+    assert_eq!(status_of(&quarantine, "beside"), Status::Clear);
     // Nor a crash under a run from before it was shut out, in either order.
     record_strikes(&mut quarantine, "culprit", &[14]);
     record_strikes(&mut quarantine, "beside", &[14, 15, 16]);
-    assert_eq!(status_of(&quarantine, "beside"), Standing::Suspect);
+    assert_eq!(status_of(&quarantine, "beside"), Status::Suspect);
 }
 
 #[rstest]
@@ -254,22 +263,22 @@
     record_strikes(&mut quarantine, "a", &[11]);
     record_strikes(&mut quarantine, "b", &[11]);
     let now = Millis(5_000);
-    quarantine.begin(request("a"), Tag(12), now);
-    assert_eq!(status_of(&quarantine, "a"), Standing::OnTrial);
-    assert_eq!(quarantine.trials(request("b"), now), [Tag(12)]);
-    assert!(quarantine.trials(request("a"), now).is_empty());
-    quarantine.rest(request("a"), now);
-    assert_eq!(status_of(&quarantine, "a"), Standing::Suspect);
+    quarantine.begin_trial(request("a"), Tag(12), now);
+    assert_eq!(status_of(&quarantine, "a"), Status::OnTrial);
+    assert_eq!(quarantine.other_trials(request("b"), now), [Tag(12)]);
+    assert!(quarantine.other_trials(request("a"), now).is_empty());
+    quarantine.end_trial(request("a"), now);
+    assert_eq!(status_of(&quarantine, "a"), Status::Suspect);
 }
 
 #[rstest]
 fn a_trial_by_a_node_that_died_expires() {
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "a", &[11]);
-    quarantine.hear(THERE, request("a"), Word::Tried(Tag(12)), Millis(5_000), UNIX_MS);
-    assert_eq!(status_of(&quarantine, "a"), Standing::OnTrial);
+    quarantine.apply(THERE, request("a"), Word::Tried(Tag(12)), Millis(5_000), UNIX_MS);
+    assert_eq!(status_of(&quarantine, "a"), Status::OnTrial);
     let later = Millis(9_000);
-    assert_eq!(quarantine.standing(request("a"), later, UNIX_MS), Standing::Suspect);
+    assert_eq!(quarantine.status(request("a"), later, UNIX_MS), Status::Suspect);
 }
 
 #[rstest]
@@ -277,15 +286,15 @@
     let (mut one, mut other) = (quarantine(), Quarantine::new(THERE));
     record_strikes(&mut one, "a", &[11, 12]);
     record_strikes(&mut other, "a", &[13]);
-    for (request, update) in other.words() {
-        one.hear(THERE, request, update, Millis(5_000), UNIX_MS);
+    for (request, update) in other.take_outbox() {
+        one.apply(THERE, request, update, Millis(5_000), UNIX_MS);
     }
-    assert!(matches!(status_of(&one, "a"), Standing::Shut(_)));
-    one.settle(Millis(6_000), UNIX_MS);
-    for (request, update) in one.words() {
-        other.hear(HERE, request, update, Millis(5_000), UNIX_MS);
+    assert!(matches!(status_of(&one, "a"), Status::ShutOut(_)));
+    one.shut_out_due(Millis(6_000), UNIX_MS);
+    for (request, update) in one.take_outbox() {
+        other.apply(HERE, request, update, Millis(5_000), UNIX_MS);
     }
-    assert!(matches!(status_of(&other, "a"), Standing::Shut(_)));
+    assert!(matches!(status_of(&other, "a"), Status::ShutOut(_)));
     assert_eq!(one.digest(), other.digest());
 }
 
@@ -294,12 +303,12 @@
     let mut bystander = quarantine();
     for endpoint in [11, 12, 13] {
         let update = Word::Struck(vec![Tag(endpoint)]);
-        bystander.hear(THERE, request("a"), update, Millis(5_000), UNIX_MS);
+        bystander.apply(THERE, request("a"), update, Millis(5_000), UNIX_MS);
     }
     // It is refused here, although the ruling is still on its way.
-    assert!(matches!(status_of(&bystander, "a"), Standing::Shut(_)));
-    assert!(bystander.words().is_empty());
-    assert!(bystander.unsaved(Millis(9_000), Some(2_000)).is_empty());
+    assert!(matches!(status_of(&bystander, "a"), Status::ShutOut(_)));
+    assert!(bystander.take_outbox().is_empty());
+    assert!(bystander.rulings_to_save(Millis(9_000), Some(2_000)).is_empty());
 }
 
 /// A node that sees three endpoints crash under a request may send its strikes and then go down
@@ -310,11 +319,11 @@
 fn a_node_that_saw_no_strike_rules_if_the_others_do_not() {
     let mut bystander = quarantine();
     let update = Word::Struck(vec![Tag(11), Tag(12), Tag(13)]);
-    bystander.hear(THERE, request("a"), update, Millis(5_000), UNIX_MS);
-    assert!(bystander.settle(Millis(5_900), UNIX_MS).is_empty());
-    assert_eq!(bystander.settle(Millis(6_000), UNIX_MS), [request("a")]);
-    assert_eq!(bystander.unsaved(Millis(6_000), None).len(), 1);
-    assert!(bystander.settle(Millis(6_300), UNIX_MS).is_empty());
+    bystander.apply(THERE, request("a"), update, Millis(5_000), UNIX_MS);
+    assert!(bystander.shut_out_due(Millis(5_900), UNIX_MS).is_empty());
+    assert_eq!(bystander.shut_out_due(Millis(6_000), UNIX_MS), [request("a")]);
+    assert_eq!(bystander.rulings_to_save(Millis(6_000), None).len(), 1);
+    assert!(bystander.shut_out_due(Millis(6_300), UNIX_MS).is_empty());
 }
 
 struct Announced {
@@ -331,9 +340,9 @@
     let mut quarantine = quarantine();
     for place in 0..case.at_once {
         let now = Millis(1_000 + place);
-        quarantine.strike(request(&place.to_string()), Tag(100 + place), now);
+        quarantine.record_strike(request(&place.to_string()), Tag(100 + place), now);
     }
-    assert_eq!(quarantine.words().len(), case.updates, "{}", case.name);
+    assert_eq!(quarantine.take_outbox().len(), case.updates, "{}", case.name);
 }
 
 struct Rulings {
@@ -351,9 +360,9 @@
     let mut quarantine = quarantine();
     for (at, verdict) in case.rulings {
         let ruling = Ruling { at: UNIX_MS + at, verdict: *verdict };
-        quarantine.take(request("a"), ruling, Millis(1_000), UNIX_MS);
+        quarantine.merge_ruling(request("a"), ruling, Millis(1_000), UNIX_MS);
     }
-    let shut = matches!(status_of(&quarantine, "a"), Standing::Shut(_));
+    let shut = matches!(status_of(&quarantine, "a"), Status::ShutOut(_));
     assert_eq!(shut, case.shut, "{}", case.name);
 }
 
@@ -361,26 +370,26 @@
 fn after_its_ruling_expires_one_crash_shuts_a_request_out_again() {
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "a", &[11, 12, 13]);
-    let (now, unix_ms) = (Millis(SHUT + 5_000), UNIX_MS + SHUT);
+    let (now, unix_ms) = (Millis(SHUT_OUT_MS + 5_000), UNIX_MS + SHUT_OUT_MS);
     quarantine.expire(now, unix_ms);
-    assert_eq!(quarantine.standing(request("a"), now, unix_ms), Standing::Suspect);
-    quarantine.strike(request("a"), Tag(14), now);
-    assert!(matches!(quarantine.standing(request("a"), now, unix_ms), Standing::Shut(_)));
+    assert_eq!(quarantine.status(request("a"), now, unix_ms), Status::Suspect);
+    quarantine.record_strike(request("a"), Tag(14), now);
+    assert!(matches!(quarantine.status(request("a"), now, unix_ms), Status::ShutOut(_)));
 }
 
 #[rstest]
 fn a_ruling_is_stored_by_its_author_at_once_and_otherwise_by_responsible_nodes() {
     let mut author = quarantine();
     record_strikes(&mut author, "a", &[11, 12, 13]);
-    assert_eq!(author.unsaved(Millis(2_000), None).len(), 1);
+    assert_eq!(author.rulings_to_save(Millis(2_000), None).len(), 1);
     let (_, ruling) = author.rulings().next().unwrap();
     let mut reader = Quarantine::new(THERE);
-    reader.take(request("a"), ruling, Millis(2_000), UNIX_MS);
-    assert!(reader.unsaved(Millis(2_100), Some(2_000)).is_empty());
-    assert!(reader.unsaved(Millis(5_000), None).is_empty());
-    assert_eq!(reader.unsaved(Millis(5_000), Some(2_000)), [(request("a"), ruling)]);
-    reader.saved(request("a"), ruling);
-    assert!(reader.unsaved(Millis(5_000), Some(2_000)).is_empty());
+    reader.merge_ruling(request("a"), ruling, Millis(2_000), UNIX_MS);
+    assert!(reader.rulings_to_save(Millis(2_100), Some(2_000)).is_empty());
+    assert!(reader.rulings_to_save(Millis(5_000), None).is_empty());
+    assert_eq!(reader.rulings_to_save(Millis(5_000), Some(2_000)), [(request("a"), ruling)]);
+    reader.mark_saved(request("a"), ruling);
+    assert!(reader.rulings_to_save(Millis(5_000), Some(2_000)).is_empty());
 }
 
 #[rstest]
@@ -389,13 +398,13 @@
     record_strikes(&mut quarantine, "a", &[11, 12, 13]);
     for place in 0..2_000_u64 {
         let now = Millis(10_000 + place * 1_000);
-        for strike in 0..SHUT_AT as u64 {
+        for strike in 0..STRIKES_TO_SHUT_OUT as u64 {
             let endpoint = Tag(1_000 + place * 10 + strike);
-            quarantine.strike(request(&format!("f{place}")), endpoint, now);
+            quarantine.record_strike(request(&format!("f{place}")), endpoint, now);
         }
-        quarantine.settle(now + TOGETHER, UNIX_MS);
+        quarantine.shut_out_due(now + JOINT_CRASH_WINDOW_MS, UNIX_MS);
     }
-    assert!(matches!(status_of(&quarantine, "a"), Standing::Shut(_)));
+    assert!(matches!(status_of(&quarantine, "a"), Status::ShutOut(_)));
     assert!(quarantine.rulings().count() <= 1_024);
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -280,7 +280,7 @@
 async fn tell_words(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.suspected.notified().await;
-        let words = node.quarantine().words();
+        let words = node.quarantine().take_outbox();
         let addresses = lock(&node.members).addresses(Scope::Live, node.now());
         send_words(&node, &socket, words, &addresses).await;
     }
@@ -336,7 +336,7 @@
 /// that read.
 async fn tell_suspects(node: &Node, socket: &UdpSocket, to: IpAddr) {
     if lock(&node.members).reads(node.now()) {
-        let words = node.quarantine().known();
+        let words = node.quarantine().known_strikes();
         send_words(node, socket, words, &[to]).await;
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,10 +10,10 @@
 use crate::node::{Node, lock};
 use crate::refusal::{Reason, Refusal};
 use crate::stream;
-use crosslane_coordination::quarantine::{ANNOUNCED, BLAMED, INNOCENT};
-use crosslane_coordination::ruling::{SHUT, Verdict};
-use crosslane_coordination::suspect::{SHUT_AT, TOGETHER};
-use crosslane_coordination::suspicion::{Standing, Strike, Word};
+use crosslane_coordination::quarantine::{ANNOUNCE_DELAY_MS, BLAME_WINDOW_MS, INNOCENT_AFTER_MS};
+use crosslane_coordination::ruling::{SHUT_OUT_MS, Verdict};
+use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
+use crosslane_coordination::suspicion::{Status, Strike, Word};
 use crosslane_platform::ask::Purpose;
 use crosslane_state::endpoint::{Endpoint, Key, Tag};
 use crosslane_state::fingerprint::Fingerprint;
@@ -96,11 +96,11 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         let ran = self.began.map_or(0, |it| self.node.now().since(it));
-        let innocent = self.well || ran >= INNOCENT;
+        let innocent = self.well || ran >= INNOCENT_AFTER_MS;
         let mut quarantine = self.node.quarantine();
         let cleared = innocent && quarantine.clear(self.request);
         if !innocent {
-            quarantine.rest(self.request, self.node.now());
+            quarantine.end_trial(self.request, self.node.now());
         }
         drop(quarantine);
         if cleared {
@@ -114,18 +114,18 @@
 /// Whether a request may be sent now.
 pub fn check(node: &Node, call: &Call) -> Result<(), Failure> {
     match standing(node, call) {
-        Standing::Free | Standing::Suspect => Ok(()),
-        Standing::OnTrial => Err(Failure::OnTrial),
-        Standing::Shut(_) => Err(Failure::ShutOut),
+        Status::Clear | Status::Suspect => Ok(()),
+        Status::OnTrial => Err(Failure::OnTrial),
+        Status::ShutOut(_) => Err(Failure::ShutOut),
     }
 }
 
-fn standing(node: &Node, call: &Call) -> Standing {
+fn standing(node: &Node, call: &Call) -> Status {
     if node.quarantine().is_empty() {
-        return Standing::Free;
+        return Status::Clear;
     }
     let request = call.fingerprint();
-    node.quarantine().standing(request, node.now(), clock::unix())
+    node.quarantine().status(request, node.now(), clock::unix())
 }
 
 /// Lets a request through to an endpoint. A run of a suspect keeps its copies back; to read its prompt
@@ -138,10 +138,10 @@
 ) -> Result<Option<Trial>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match standing(node, call) {
-        Standing::Shut(_) => Err(barred(call, Failure::ShutOut)),
-        Standing::OnTrial if runs => Err(barred(call, Failure::OnTrial)),
-        Standing::Suspect if runs => try_suspect(node, call, endpoint).await.map(Some),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(None),
+        Status::ShutOut(_) => Err(barred(call, Failure::ShutOut)),
+        Status::OnTrial if runs => Err(barred(call, Failure::OnTrial)),
+        Status::Suspect if runs => try_suspect(node, call, endpoint).await.map(Some),
+        Status::Clear | Status::Suspect | Status::OnTrial => Ok(None),
     }
 }
 
@@ -151,20 +151,20 @@
     let (request, tag) = (call.fingerprint(), endpoint.tag());
     {
         let mut quarantine = node.quarantine();
-        if quarantine.trials(request, node.now()).contains(&tag) {
+        if quarantine.other_trials(request, node.now()).contains(&tag) {
             return Err(beside_another(call));
         }
-        quarantine.begin(request, tag, node.now());
+        quarantine.begin_trial(request, tag, node.now());
     }
     node.suspected.notify_one();
     let trial = Trial { node: node.clone(), request, began: None, well: false };
-    sleep(Duration::from_millis(ANNOUNCED)).await;
-    if node.quarantine().gives_way(request, tag, node.now()) {
+    sleep(Duration::from_millis(ANNOUNCE_DELAY_MS)).await;
+    if node.quarantine().must_yield(request, tag, node.now()) {
         return Err(beside_another(call));
     }
     match standing(node, call) {
-        Standing::Shut(_) => Err(barred(call, Failure::ShutOut)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(trial),
+        Status::ShutOut(_) => Err(barred(call, Failure::ShutOut)),
+        Status::Clear | Status::Suspect | Status::OnTrial => Ok(trial),
     }
 }
 
@@ -175,10 +175,10 @@
 
 /// Engines at which other suspects run, for a suspect not to be placed beside them.
 pub fn others_on_trial(node: &Node, call: &Call) -> Vec<Key> {
-    if standing(node, call) != Standing::Suspect {
+    if standing(node, call) != Status::Suspect {
         return Vec::new();
     }
-    let engines = node.quarantine().trials(call.fingerprint(), node.now());
+    let engines = node.quarantine().other_trials(call.fingerprint(), node.now());
     let pool = node.pool();
     engines.into_iter().filter_map(|it| pool.key(it)).collect()
 }
@@ -187,8 +187,8 @@
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
     barred(call, failure);
     match standing(node, call) {
-        Standing::Shut(left) => Refusal::later(Reason::ShutOut, Duration::from_millis(left)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => stream::come_back(failure.into()),
+        Status::ShutOut(left) => Refusal::later(Reason::ShutOut, Duration::from_millis(left)),
+        Status::Clear | Status::Suspect | Status::OnTrial => stream::come_back(failure.into()),
     }
 }
 
@@ -209,12 +209,12 @@
     let ran_ms = node.now().since(began);
     let fingerprint = call.fingerprint();
     info!(request, to, ran_ms, fingerprint:%; "{}", event::BROKE);
-    if ran_ms > BLAMED {
+    if ran_ms > BLAME_WINDOW_MS {
         // It says nothing of the request, but whether endpoints end together.
         let (node, endpoint) = (node.clone(), endpoint.clone());
         tokio::spawn(async move {
             if node.checks.gone(&endpoint).await {
-                node.quarantine().ended(endpoint.tag(), node.now());
+                node.quarantine().record_crash(endpoint.tag(), node.now());
             }
         });
         return;
@@ -233,19 +233,19 @@
 }
 
 fn strike(node: &Arc<Node>, request: &str, fingerprint: Fingerprint, endpoint: &Endpoint) {
-    let struck = node.quarantine().strike(fingerprint, endpoint.tag(), node.now());
+    let struck = node.quarantine().record_strike(fingerprint, endpoint.tag(), node.now());
     let to = endpoint.id.as_str();
-    let Strike::Held(strikes) = struck else {
+    let Strike::Counted(strikes) = struck else {
         info!(request, fingerprint:%, to, why:% = struck; "{}", event::SPARED);
         return;
     };
     node.meter.strikes.inc();
     info!(request, fingerprint:%, to, strikes; "{}", event::STRUCK);
     node.suspected.notify_one();
-    if strikes >= SHUT_AT {
+    if strikes >= STRIKES_TO_SHUT_OUT {
         let node = node.clone();
         tokio::spawn(async move {
-            sleep(Duration::from_millis(TOGETHER)).await;
+            sleep(Duration::from_millis(JOINT_CRASH_WINDOW_MS)).await;
             settle(&node);
         });
     }
@@ -256,9 +256,9 @@
     let (now, unix) = (node.now(), clock::unix());
     let (shut, acquitted) = {
         let mut quarantine = node.quarantine();
-        (quarantine.settle(now, unix), quarantine.acquit(now, unix))
+        (quarantine.shut_out_due(now, unix), quarantine.lift_superseded(now, unix))
     };
-    let for_s = SHUT / 1_000;
+    let for_s = SHUT_OUT_MS / 1_000;
     for fingerprint in &shut {
         warn!(fingerprint:%, verdict:% = Verdict::Shut, source = "here", for_s; "{}", event::RULED);
     }
@@ -280,7 +280,7 @@
             Word::Ruled(ruling) => ruling.verdict.to_string(),
             _ => String::new(),
         };
-        if node.quarantine().hear(from, fingerprint, word, now, unix) {
+        if node.quarantine().apply(from, fingerprint, word, now, unix) {
             info!(fingerprint:%, verdict, source = "peer"; "{}", event::RULED);
         }
     }
@@ -296,5 +296,5 @@
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
     }
-    node.meter.shut_out.set(quarantine.shut_count() as i64);
+    node.meter.shut_out.set(quarantine.shut_out_count() as i64);
 }
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -113,10 +113,10 @@
             continue;
         };
         let mut quarantine = node.quarantine();
-        let new = quarantine.take(request, ruling, now, unix);
-        quarantine.saved(request, ruling);
+        let new = quarantine.merge_ruling(request, ruling, now, unix);
+        quarantine.mark_saved(request, ruling);
         if new {
-            quarantine.tell(request, Word::Ruled(ruling));
+            quarantine.queue_update(request, Word::Ruled(ruling));
             drop(quarantine);
             info!(fingerprint:% = request, verdict:% = ruling.verdict, source = "store"; "{}", event::RULED);
             node.suspected.notify_one();
@@ -132,12 +132,12 @@
         // What was ruled here is written at once: all nodes may be killed at the next moment.
         let _ = timeout(IDLE, node.ruled.notified()).await;
         let reader = lock(&node.members).reads(node.now());
-        let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED));
+        let unsaved = node.quarantine().rulings_to_save(node.now(), reader.then_some(ORPHANED));
         for (request, ruling) in unsaved {
             match (Entry { request, ruling }).write(&mut client).await {
                 Ok(()) => {
                     failures = 0;
-                    node.quarantine().saved(request, ruling);
+                    node.quarantine().mark_saved(request, ruling);
                 }
                 Err(error) => {
                     info!(fingerprint:% = request, why:% = error; "{}", event::UNSAVED);
@@ -154,7 +154,7 @@
     let page = client.newest(TOPIC).await?;
     let unix = clock::unix();
     let entries = page.records.iter().filter_map(|it| Entry::try_from(it).ok());
-    Ok(entries.filter(|it| !it.ruling.over(unix)).collect())
+    Ok(entries.filter(|it| !it.ruling.is_expired(unix)).collect())
 }
 
 /// Lets a request in again.
