--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -29,7 +29,7 @@
 
 use crate::ruling::{Ruling, SHUT_OUT_MS, Verdict};
 use crate::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT, Suspect, Trial};
-use crate::suspicion::{Status, Strike, Word};
+use crate::suspicion::{Status, Strike, Update};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -88,7 +88,7 @@
     /// Endpoints that went down a moment ago, as seen or reported, and when.
     recent_crashes: Vec<(Tag, Millis)>,
     /// Updates that are still to be sent to other nodes.
-    outbox: Vec<(Fingerprint, Word)>,
+    outbox: Vec<(Fingerprint, Update)>,
     /// Rulings that the store may lack.
     unsaved_rulings: BTreeMap<Fingerprint, Unsaved>,
     /// Combined digest of all rulings.
@@ -155,7 +155,7 @@
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.trial = Some(Trial { by: self.node, endpoint, until: now + TRIAL_MS });
             if suspect.announced {
-                self.outbox.push((request, Word::Tried(endpoint)));
+                self.outbox.push((request, Update::TrialStarted(endpoint)));
             }
         }
     }
@@ -170,7 +170,7 @@
         }
         suspect.end_trial(now);
         if suspect.announced {
-            self.outbox.push((request, Word::Rested));
+            self.outbox.push((request, Update::TrialEnded));
         }
     }
 
@@ -220,7 +220,7 @@
         }
         if strikes > 1 || self.recent_crashes.len() <= JOINT_CRASHES {
             suspect.announced = true;
-            self.outbox.push((request, Word::Struck(suspect.strikes.clone())));
+            self.outbox.push((request, Update::Struck(suspect.strikes.clone())));
         }
         Strike::Counted(strikes)
     }
@@ -310,7 +310,7 @@
             return false;
         }
         self.unsaved_rulings.insert(request, Unsaved { since: now, own: true });
-        self.outbox.push((request, Word::Ruled(ruling)));
+        self.outbox.push((request, Update::Ruled(ruling)));
         true
     }
 
@@ -348,7 +348,7 @@
             return false;
         };
         if suspect.announced {
-            self.outbox.push((request, Word::Cleared));
+            self.outbox.push((request, Update::Cleared));
         }
         self.suspects.remove(&request);
         true
@@ -359,25 +359,25 @@
         &mut self,
         from: Tag,
         request: Fingerprint,
-        update: Word,
+        update: Update,
         now: Millis,
         unix_ms: u64,
     ) -> bool {
         match update {
-            Word::Struck(endpoints) => {
+            Update::Struck(endpoints) => {
                 self.apply_strikes(request, &endpoints, now);
                 // The last crash is new; the earlier ones were reported when they happened.
                 if let Some(last) = endpoints.last() {
                     self.record_crash(*last, now);
                 }
             }
-            Word::Known(endpoints) => self.apply_strikes(request, &endpoints, now),
-            Word::Tried(endpoint) => {
+            Update::KnownStrikes(endpoints) => self.apply_strikes(request, &endpoints, now),
+            Update::TrialStarted(endpoint) => {
                 if let Some(suspect) = self.suspects.get_mut(&request) {
                     suspect.trial = Some(Trial { by: from, endpoint, until: now + TRIAL_MS });
                 }
             }
-            Word::Rested => {
+            Update::TrialEnded => {
                 let suspect = self.suspects.get_mut(&request);
                 if let Some(suspect) =
                     suspect.filter(|known| known.trial.is_some_and(|trial| trial.by == from))
@@ -385,14 +385,14 @@
                     suspect.end_trial(now);
                 }
             }
-            Word::Cleared => {
+            Update::Cleared => {
                 let unruled =
                     self.suspects.get(&request).is_some_and(|suspect| suspect.ruling.is_none());
                 if unruled {
                     self.suspects.remove(&request);
                 }
             }
-            Word::Ruled(ruling) => return self.merge_ruling(request, ruling, now, unix_ms),
+            Update::Ruled(ruling) => return self.merge_ruling(request, ruling, now, unix_ms),
         }
         false
     }
@@ -470,13 +470,15 @@
     }
 
     /// Strikes of requests without a ruling, for a node that starts.
-    pub fn known_strikes(&self) -> Vec<(Fingerprint, Word)> {
+    pub fn known_strikes(&self) -> Vec<(Fingerprint, Update)> {
         let suspects = self
             .suspects
             .iter()
             .filter(|(_, suspect)| suspect.announced && suspect.ruling.is_none());
         let struck = suspects.filter(|(_, suspect)| !suspect.strikes.is_empty());
-        struck.map(|(request, suspect)| (*request, Word::Known(suspect.strikes.clone()))).collect()
+        struck
+            .map(|(request, suspect)| (*request, Update::KnownStrikes(suspect.strikes.clone())))
+            .collect()
     }
 
     /// All rulings.
@@ -497,12 +499,12 @@
     }
 
     /// Queues an update for other nodes.
-    pub fn queue_update(&mut self, request: Fingerprint, update: Word) {
+    pub fn queue_update(&mut self, request: Fingerprint, update: Update) {
         self.outbox.push((request, update));
     }
 
     /// Takes the queued updates for other nodes.
-    pub fn take_outbox(&mut self) -> Vec<(Fingerprint, Word)> {
+    pub fn take_outbox(&mut self) -> Vec<(Fingerprint, Update)> {
         std::mem::take(&mut self.outbox)
     }
 
--- a/crates/coordination/src/suspicion.rs
+++ b/crates/coordination/src/suspicion.rs
@@ -8,19 +8,19 @@
 
 /// An update from one node to the others about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Update {
     /// These endpoints crashed under it, the last one just now.
     Struck(Vec<Tag>),
     /// The sender runs it at this endpoint as a trial.
-    Tried(Tag),
+    TrialStarted(Tag),
     /// The sender's trial is over without a result.
-    Rested,
+    TrialEnded,
     /// It ran well.
     Cleared,
     /// There is a ruling on it.
     Ruled(Ruling),
     /// These endpoints crashed under it before the receiver started.
-    Known(Vec<Tag>),
+    KnownStrikes(Vec<Tag>),
 }
 
 /// How a crash is counted for a request that had just started at the endpoint.
--- a/crates/coordination/tests/crashes/mod.rs
+++ b/crates/coordination/tests/crashes/mod.rs
@@ -8,7 +8,7 @@
 use crosslane_coordination::quarantine::{
     ANNOUNCE_DELAY_MS, BLAME_WINDOW_MS, INNOCENT_AFTER_MS, Quarantine,
 };
-use crosslane_coordination::suspicion::{Status, Word};
+use crosslane_coordination::suspicion::{Status, Update};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -77,7 +77,7 @@
     /// A node has checked an engine that interrupted a request.
     Checked(Check),
     /// An update from another node arrives.
-    Receives { node: usize, from: Tag, request: Fingerprint, update: Word },
+    Receives { node: usize, from: Tag, request: Fingerprint, update: Update },
     /// An engine is back.
     Back { engine: usize },
     /// A node found an engine alive, and is to check again.
@@ -292,7 +292,7 @@
             return self.at(now + SYNC_MS, Event::Synced { node });
         };
         let rulings =
-            self.nodes[from].rulings().map(|(request, ruling)| (request, Word::Ruled(ruling)));
+            self.nodes[from].rulings().map(|(request, ruling)| (request, Update::Ruled(ruling)));
         let updates: Vec<_> = rulings.chain(self.nodes[from].known_strikes()).collect();
         for (request, update) in updates {
             self.nodes[node].apply(Tag(from as u64), request, update, Millis(now), UNIX_MS);
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use crosslane_coordination::quarantine::Quarantine;
 use crosslane_coordination::ruling::{Ruling, SHUT_OUT_MS, Verdict};
 use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
-use crosslane_coordination::suspicion::{Status, Word};
+use crosslane_coordination::suspicion::{Status, Update};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -98,8 +98,14 @@
     quarantine.record_strike(request("companion"), Tag(11), Millis(0));
     for endpoint in [12, 13] {
         let at = Millis(endpoint * 1_000);
-        quarantine.apply(THERE, request("culprit"), Word::Tried(Tag(endpoint)), at, UNIX_MS);
-        quarantine.apply(THERE, request("culprit"), Word::Rested, at + 40, UNIX_MS);
+        quarantine.apply(
+            THERE,
+            request("culprit"),
+            Update::TrialStarted(Tag(endpoint)),
+            at,
+            UNIX_MS,
+        );
+        quarantine.apply(THERE, request("culprit"), Update::TrialEnded, at + 40, UNIX_MS);
         quarantine.record_strike(request("companion"), Tag(endpoint), at + 41);
         quarantine.end_trial(request("companion"), at + 41);
     }
@@ -148,7 +154,7 @@
             quarantine.apply(
                 Tag(3),
                 request(name),
-                Word::Struck(vec![Tag(11)]),
+                Update::Struck(vec![Tag(11)]),
                 Millis(0),
                 UNIX_MS,
             );
@@ -275,7 +281,7 @@
 fn a_trial_by_a_node_that_died_expires() {
     let mut quarantine = quarantine();
     record_strikes(&mut quarantine, "a", &[11]);
-    quarantine.apply(THERE, request("a"), Word::Tried(Tag(12)), Millis(5_000), UNIX_MS);
+    quarantine.apply(THERE, request("a"), Update::TrialStarted(Tag(12)), Millis(5_000), UNIX_MS);
     assert_eq!(status_of(&quarantine, "a"), Status::OnTrial);
     let later = Millis(9_000);
     assert_eq!(quarantine.status(request("a"), later, UNIX_MS), Status::Suspect);
@@ -302,7 +308,7 @@
 fn a_node_that_saw_no_strike_does_not_rule_at_once() {
     let mut bystander = quarantine();
     for endpoint in [11, 12, 13] {
-        let update = Word::Struck(vec![Tag(endpoint)]);
+        let update = Update::Struck(vec![Tag(endpoint)]);
         bystander.apply(THERE, request("a"), update, Millis(5_000), UNIX_MS);
     }
     // It is refused here, although the ruling is still on its way.
@@ -318,7 +324,7 @@
 #[rstest]
 fn a_node_that_saw_no_strike_rules_if_the_others_do_not() {
     let mut bystander = quarantine();
-    let update = Word::Struck(vec![Tag(11), Tag(12), Tag(13)]);
+    let update = Update::Struck(vec![Tag(11), Tag(12), Tag(13)]);
     bystander.apply(THERE, request("a"), update, Millis(5_000), UNIX_MS);
     assert!(bystander.shut_out_due(Millis(5_900), UNIX_MS).is_empty());
     assert_eq!(bystander.shut_out_due(Millis(6_000), UNIX_MS), [request("a")]);
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -92,7 +92,7 @@
         /// Tag of the sender's VM.
         vm: Tag,
         /// What, by request.
-        words: Vec<(Fingerprint, suspicion::Word)>,
+        words: Vec<(Fingerprint, suspicion::Update)>,
     },
     /// Which rulings the sender knows; after each heartbeat while there are any.
     Rulings {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -18,7 +18,7 @@
 use crate::{limit, pull, quarantine, quota};
 use crosslane_coordination::heartbeat::FAR_EVERY;
 use crosslane_coordination::limits;
-use crosslane_coordination::suspicion::Word;
+use crosslane_coordination::suspicion::Update;
 use crosslane_platform::store::Client;
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
@@ -289,7 +289,7 @@
 async fn send_words(
     node: &Node,
     socket: &UdpSocket,
-    words: Vec<(Fingerprint, Word)>,
+    words: Vec<(Fingerprint, Update)>,
     addresses: &[IpAddr],
 ) {
     for words in words.chunks(WORDS) {
@@ -344,7 +344,7 @@
 /// Sends all rulings to a node that asks for them.
 async fn send_rulings(node: &Node, socket: &UdpSocket, to: IpAddr) {
     let rulings: Vec<_> = node.quarantine().rulings().collect();
-    let words = rulings.into_iter().map(|(it, ruling)| (it, Word::Ruled(ruling))).collect();
+    let words = rulings.into_iter().map(|(it, ruling)| (it, Update::Ruled(ruling))).collect();
     send_words(node, socket, words, &[to]).await;
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -13,7 +13,7 @@
 use crosslane_coordination::quarantine::{ANNOUNCE_DELAY_MS, BLAME_WINDOW_MS, INNOCENT_AFTER_MS};
 use crosslane_coordination::ruling::{SHUT_OUT_MS, Verdict};
 use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
-use crosslane_coordination::suspicion::{Status, Strike, Word};
+use crosslane_coordination::suspicion::{Status, Strike, Update};
 use crosslane_platform::ask::Purpose;
 use crosslane_state::endpoint::{Endpoint, Key, Tag};
 use crosslane_state::fingerprint::Fingerprint;
@@ -273,11 +273,11 @@
 }
 
 /// Takes another node's words.
-pub fn hear(node: &Node, from: Tag, words: Vec<(Fingerprint, Word)>) {
+pub fn hear(node: &Node, from: Tag, words: Vec<(Fingerprint, Update)>) {
     let (now, unix) = (node.now(), clock::unix());
     for (fingerprint, word) in words {
         let verdict = match &word {
-            Word::Ruled(ruling) => ruling.verdict.to_string(),
+            Update::Ruled(ruling) => ruling.verdict.to_string(),
             _ => String::new(),
         };
         if node.quarantine().apply(from, fingerprint, word, now, unix) {
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -7,7 +7,7 @@
 use crate::event;
 use crate::node::{Node, lock};
 use crosslane_coordination::ruling::{Ruling, Verdict};
-use crosslane_coordination::suspicion::Word;
+use crosslane_coordination::suspicion::Update;
 use crosslane_platform::store::{Client, Error, Page, Record};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_transport::clock;
@@ -116,7 +116,7 @@
         let new = quarantine.merge_ruling(request, ruling, now, unix);
         quarantine.mark_saved(request, ruling);
         if new {
-            quarantine.queue_update(request, Word::Ruled(ruling));
+            quarantine.queue_update(request, Update::Ruled(ruling));
             drop(quarantine);
             info!(fingerprint:% = request, verdict:% = ruling.verdict, source = "store"; "{}", event::RULED);
             node.suspected.notify_one();
