--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -33,7 +33,7 @@
 
 /// Tolerance of these limits: nothing is tolerated beyond the limit, and the window is long enough
 /// to save up a whole request at the lowest rate.
-pub const BOUND: Bound = Bound { window: 60_000, overage: 0.0, slack: 0.0 };
+pub const TOLERANCE: Bound = Bound { window: 60_000, overage: 0.0, slack: 0.0 };
 
 /// Share of the limit that a backup owner grants. Nodes that miss answers of the first owner ask
 /// the next one while others still ask the first; together the two must not grant the limit twice.
@@ -49,14 +49,14 @@
 
 /// An endpoint's limit with its revision, as nodes send it to each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// Number of changes so far.
     pub revision: u64,
     /// The limit; `None` if the endpoint names none any more.
     pub rate: Option<Rate>,
 }
 
-impl Word {
+impl Update {
     /// Whether it wins over another one.
     fn wins_over(self, other: Self) -> bool {
         let newer = self.revision > other.revision;
@@ -67,7 +67,7 @@
 /// What this node knows of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
-    update: Word,
+    update: Update,
     /// When this node learned of it.
     learned_at: Millis,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
     /// Previous limit.
-    pub before: Option<Rate>,
+    pub previous: Option<Rate>,
     /// Limit from now on.
     pub rate: Option<Rate>,
 }
@@ -85,17 +85,17 @@
     /// Whether the endpoint began or ceased to name a limit. All nodes need to know that; the rate
     /// itself matters only to the limit's owners.
     fn concerns_all_nodes(self) -> bool {
-        self.before.is_some() != self.rate.is_some()
+        self.previous.is_some() != self.rate.is_some()
     }
 }
 
 /// Changes to send to other nodes.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct Outbox {
     /// For all nodes.
-    pub all: Vec<(Tag, Word)>,
+    pub all: Vec<(Tag, Update)>,
     /// For the owners of the limits only.
-    pub owners: Vec<(Tag, Word)>,
+    pub owners: Vec<(Tag, Update)>,
 }
 
 /// Limits by endpoint.
@@ -111,7 +111,7 @@
 impl Limits {
     /// Applies the limit in an answer, or its absence. `sent` is when the answer's request was
     /// sent.
-    pub fn note(
+    pub fn observe(
         &mut self,
         endpoint: Tag,
         rate: Option<Rate>,
@@ -123,41 +123,41 @@
         if !applies {
             return None;
         }
-        let change = Change { before: update.rate, rate };
+        let change = Change { previous: update.rate, rate };
         *self.unsent.entry(endpoint).or_default() |= change.concerns_all_nodes();
-        let update = Word { revision: update.revision + 1, rate };
+        let update = Update { revision: update.revision + 1, rate };
         self.entries.insert(endpoint, Entry { update, learned_at: now });
         Some(change)
     }
 
     /// Records that an endpoint named a limit that can't be parsed; true the first time.
-    pub fn unreadable(&mut self, endpoint: Tag) -> bool {
+    pub fn mark_invalid(&mut self, endpoint: Tag) -> bool {
         self.invalid.insert(endpoint)
     }
 
     /// Applies a change from another node.
-    pub fn hear(&mut self, endpoint: Tag, update: Word, now: Millis) -> Option<Change> {
+    pub fn apply(&mut self, endpoint: Tag, update: Update, now: Millis) -> Option<Change> {
         let known = self.entries.get(&endpoint).map(|entry| entry.update).unwrap_or_default();
         if !update.wins_over(known) {
             return None;
         }
         self.entries.insert(endpoint, Entry { update, learned_at: now });
-        (update.rate != known.rate).then_some(Change { before: known.rate, rate: update.rate })
+        (update.rate != known.rate).then_some(Change { previous: known.rate, rate: update.rate })
     }
 
     /// What is known of an endpoint's limit.
-    pub fn word(&self, endpoint: Tag) -> Option<Word> {
+    pub fn latest(&self, endpoint: Tag) -> Option<Update> {
         self.entries.get(&endpoint).map(|entry| entry.update)
     }
 
     /// The limit that an endpoint names.
     pub fn rate(&self, endpoint: Tag) -> Option<Rate> {
-        self.word(endpoint)?.rate
+        self.latest(endpoint)?.rate
     }
 
     /// All entries, also of limits that ended: a node that missed the end would otherwise keep the
     /// limit.
-    pub fn words(&self) -> Vec<(Tag, Word)> {
+    pub fn snapshot(&self) -> Vec<(Tag, Update)> {
         self.entries.iter().map(|(endpoint, entry)| (*endpoint, entry.update)).collect()
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Takes the changes since the last call.
-    pub fn news(&mut self) -> News {
-        let mut news = News::default();
+    pub fn take_outbox(&mut self) -> Outbox {
+        let mut news = Outbox::default();
         for (endpoint, to_all) in std::mem::take(&mut self.unsent) {
             if let Some(entry) = self.entries.get(&endpoint) {
                 let updates = if to_all { &mut news.all } else { &mut news.owners };
@@ -204,7 +204,7 @@
 }
 
 /// Limit on requests of all nodes together to an endpoint that names a rate.
-pub fn limit(rate: Rate) -> Limit {
+pub fn fleet_limit(rate: Rate) -> Limit {
     let rate = match rate.per_second() {
         0.0 => PROBE_RATE,
         rate => rate.max(MIN_RATE),
@@ -213,7 +213,7 @@
 }
 
 /// Part of a limit that a backup owner may grant.
-pub fn deputy(limit: Limit) -> Limit {
+pub fn backup_limit(limit: Limit) -> Limit {
     Limit { rate: limit.rate * BACKUP_SHARE, burst: limit.burst * BACKUP_SHARE }
 }
 
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that endpoints name in answers that overtake each other, and their exchange between
 //! nodes.
 
-use crosslane_coordination::limits::{self, Change, Limits, Queues, Word};
+use crosslane_coordination::limits::{self, Change, Limits, Queues, Update};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::rate::Rate;
 use crosslane_state::time::Millis;
@@ -39,20 +39,20 @@
     let mut last = None;
     for (named, sent, answered) in case.before {
         last = named.and_then(rate);
-        limits.note(ENDPOINT, last, Millis(*sent), Millis(*answered));
+        limits.observe(ENDPOINT, last, Millis(*sent), Millis(*answered));
     }
     let (named, sent, answered) = case.next;
     let named = named.and_then(rate);
-    let change = limits.note(ENDPOINT, named, Millis(sent), Millis(answered));
-    let expected = case.applies.then_some(Change { before: last, rate: named });
+    let change = limits.observe(ENDPOINT, named, Millis(sent), Millis(answered));
+    let expected = case.applies.then_some(Change { previous: last, rate: named });
     assert_eq!(change, expected, "{}", case.name);
 }
 
-fn update() -> impl Strategy<Value = (Tag, Word)> {
+fn update() -> impl Strategy<Value = (Tag, Update)> {
     let rate =
         prop::option::of((0_u32..4).prop_map(|figure| Rate::try_from(f64::from(figure)).unwrap()));
     (0_u64..3, 1_u64..4, rate)
-        .prop_map(|(endpoint, revision, rate)| (Tag(endpoint), Word { revision, rate }))
+        .prop_map(|(endpoint, revision, rate)| (Tag(endpoint), Update { revision, rate }))
 }
 
 proptest! {
@@ -63,10 +63,10 @@
     ) {
         use rand::SeedableRng;
         use rand::seq::SliceRandom;
-        let replay = |updates: &[(Tag, Word)]| {
+        let replay = |updates: &[(Tag, Update)]| {
             let mut limits = Limits::default();
             for (endpoint, update) in updates {
-                limits.hear(*endpoint, *update, Millis(0));
+                limits.apply(*endpoint, *update, Millis(0));
             }
             limits
         };
@@ -75,7 +75,7 @@
         let (one, other) = (replay(&updates), replay(&other));
         prop_assert_eq!(one.digest(), other.digest());
         for (endpoint, _) in updates {
-            prop_assert_eq!(one.word(endpoint), other.word(endpoint));
+            prop_assert_eq!(one.latest(endpoint), other.latest(endpoint));
         }
     }
 }
@@ -83,38 +83,38 @@
 #[rstest]
 fn a_node_that_missed_a_change_gets_it_from_another_one() {
     let (mut one, mut other) = (Limits::default(), Limits::default());
-    one.note(ENDPOINT, rate(3.0), Millis(1), Millis(2));
+    one.observe(ENDPOINT, rate(3.0), Millis(1), Millis(2));
     assert_ne!(one.digest(), other.digest());
-    for (endpoint, update) in one.words() {
-        other.hear(endpoint, update, Millis(5));
+    for (endpoint, update) in one.snapshot() {
+        other.apply(endpoint, update, Millis(5));
     }
     assert_eq!((other.rate(ENDPOINT), one.digest()), (rate(3.0), other.digest()));
-    one.note(ENDPOINT, None, Millis(10), Millis(11));
-    for (endpoint, update) in one.words() {
-        other.hear(endpoint, update, Millis(12));
+    one.observe(ENDPOINT, None, Millis(10), Millis(11));
+    for (endpoint, update) in one.snapshot() {
+        other.apply(endpoint, update, Millis(12));
     }
     assert_eq!((other.rate(ENDPOINT), other.digest()), (None, 0));
     // A limit that was named before the end does not come back.
-    assert_eq!(other.hear(ENDPOINT, Word { revision: 1, rate: rate(3.0) }, Millis(13)), None);
+    assert_eq!(other.apply(ENDPOINT, Update { revision: 1, rate: rate(3.0) }, Millis(13)), None);
 }
 
 #[rstest]
 fn begins_and_ends_go_to_all_nodes_and_rates_to_owners() {
     let mut limits = Limits::default();
-    limits.note(ENDPOINT, rate(3.0), Millis(1), Millis(2));
-    let news = limits.news();
+    limits.observe(ENDPOINT, rate(3.0), Millis(1), Millis(2));
+    let news = limits.take_outbox();
     assert_eq!((news.all.len(), news.owners.len()), (1, 0));
-    limits.note(ENDPOINT, rate(2.0), Millis(3), Millis(4));
-    let news = limits.news();
+    limits.observe(ENDPOINT, rate(2.0), Millis(3), Millis(4));
+    let news = limits.take_outbox();
     assert_eq!((news.all.len(), news.owners.len()), (0, 1));
-    let news = limits.news();
+    let news = limits.take_outbox();
     assert_eq!((news.all.len(), news.owners.len()), (0, 0));
 }
 
 #[rstest]
 fn an_endpoint_that_stays_unlisted_is_dropped() {
     let mut limits = Limits::default();
-    limits.note(ENDPOINT, rate(3.0), Millis(1), Millis(2));
+    limits.observe(ENDPOINT, rate(3.0), Millis(1), Millis(2));
     limits.expire(|_| false, Millis(5_000));
     assert_eq!(limits.rate(ENDPOINT), rate(3.0));
     limits.expire(|endpoint| endpoint == ENDPOINT, Millis(60_000));
@@ -134,7 +134,7 @@
 #[case(Used { named: 0.001, used: 0.02 })]
 #[case(Used { named: 0.0, used: 0.1 })]
 fn very_low_limits_are_raised_to_a_probe_rate(#[case] case: Used) {
-    let limit = limits::limit(Rate::try_from(case.named).unwrap());
+    let limit = limits::fleet_limit(Rate::try_from(case.named).unwrap());
     assert_eq!(limit.rate, case.used);
 }
 
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -6,7 +6,7 @@
 //! heartbeat's validity ends.
 
 use crosslane_coordination::heartbeat::{self, Interval};
-use crosslane_coordination::limits::{self, BOUND, Queues};
+use crosslane_coordination::limits::{self, Queues, TOLERANCE};
 use crosslane_coordination::quota::{self, Ask, Misses, Quota, Verdict};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::organisation::Limit;
@@ -66,7 +66,7 @@
 
 impl Node {
     fn new() -> Self {
-        let (owned, alone) = (Quota::new(BOUND), Quota::new(BOUND));
+        let (owned, alone) = (Quota::new(TOLERANCE), Quota::new(TOLERANCE));
         let (queues, misses) = Default::default();
         Self { owned, alone, queues, held_until: 0, unaware_until: 0, misses, away: None }
     }
@@ -142,7 +142,7 @@
                 verdict => return verdict,
             }
         }
-        let ask = self.charge(limits::deputy(self.limit));
+        let ask = self.charge(limits::backup_limit(self.limit));
         let share = 1.0 / self.nodes.len() as f64;
         self.nodes[at].alone.rule_alone(ask, share, Millis(now))
     }
@@ -169,7 +169,7 @@
         let share = seen.len() as f64 / self.nodes.len() as f64;
         let tags = seen.into_iter().map(|node| (Tag(node as u64), node));
         let is_first = quota::owners(ENDPOINT, tags).first() == Some(&owner);
-        let limit = if is_first { self.limit } else { limits::deputy(self.limit) };
+        let limit = if is_first { self.limit } else { limits::backup_limit(self.limit) };
         let ask = self.charge(limit);
         match self.nodes[owner].owned.rule(ask, share, Millis(now)) {
             Verdict::Over { wait } => {
@@ -218,7 +218,7 @@
 
 impl Run {
     fn play(&self) -> Outcome {
-        let limit = limits::limit(Rate::try_from(self.rate).unwrap());
+        let limit = limits::fleet_limit(Rate::try_from(self.rate).unwrap());
         let mut fleet = Fleet {
             nodes: (0..self.nodes).map(|_| Node::new()).collect(),
             fault: self.fault,
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -11,7 +11,7 @@
 use crate::peers;
 use crate::quota::{self, Grant, Over};
 use crate::refusal::{Reason, Refusal};
-use crosslane_coordination::limits::{self, Change, Word};
+use crosslane_coordination::limits::{self, Change, Update};
 use crosslane_platform::answer::LimitError;
 use crosslane_state::endpoint::{Endpoint, Key, Stage, Tag};
 use crosslane_state::organisation::Limit;
@@ -39,13 +39,13 @@
     let rate = match named {
         Ok(rate) => *rate,
         Err(error) => {
-            if node.limits().unreadable(endpoint.tag()) {
+            if node.limits().mark_invalid(endpoint.tag()) {
                 warn!(from, why:% = error; "{}", event::SKIPPED);
             }
             return;
         }
     };
-    let change = node.limits().note(endpoint.tag(), rate, sent, node.now());
+    let change = node.limits().observe(endpoint.tag(), rate, sent, node.now());
     if let Some(change) = change {
         apply(node, endpoint.tag(), change, "answer");
         node.limited.notify_one();
@@ -53,9 +53,9 @@
 }
 
 /// Takes another node's words.
-pub fn hear(node: &Node, words: &[(Tag, Word)], from: IpAddr) {
+pub fn hear(node: &Node, words: &[(Tag, Update)], from: IpAddr) {
     for (endpoint, word) in words {
-        let change = node.limits().hear(*endpoint, *word, node.now());
+        let change = node.limits().apply(*endpoint, *word, node.now());
         if let Some(change) = change {
             apply(node, *endpoint, change, from);
         }
@@ -63,12 +63,12 @@
 }
 
 /// Takes what a node knows of a limit that it asks about, and tells it if it knows less.
-pub fn hear_asker(node: &Node, subject: Subject, word: Option<Word>, from: IpAddr) {
+pub fn hear_asker(node: &Node, subject: Subject, word: Option<Update>, from: IpAddr) {
     let (Subject::Endpoint(endpoint), Some(word)) = (subject, word) else {
         return;
     };
     hear(node, &[(endpoint, word)], from);
-    let known = node.limits().word(endpoint);
+    let known = node.limits().latest(endpoint);
     if let Some(known) = known.filter(|it| *it != word) {
         peers::post(node, &Message::Limits { words: vec![(endpoint, known)] }, from);
     }
@@ -82,7 +82,7 @@
     pool.let_in(endpoint, change.rate.is_none(), node.now());
     let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|it| it.id.as_str());
     let to = to.unwrap_or_default();
-    let (per_second, before) = (told(change.rate), told(change.before));
+    let (per_second, before) = (told(change.rate), told(change.previous));
     info!(to, per_second, before, source:%; "{}", event::LIMIT);
 }
 
@@ -93,7 +93,7 @@
 
 /// What all nodes together may send to an endpoint, if it names a limit.
 pub fn of(node: &Node, endpoint: Tag) -> Option<Limit> {
-    node.limits().rate(endpoint).map(limits::limit)
+    node.limits().rate(endpoint).map(limits::fleet_limit)
 }
 
 /// Takes a request's part of the limit of an endpoint, if it names one.
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -6,7 +6,7 @@
 
 use crate::mirror::Ends;
 use crosslane_coordination::heartbeat::{self, FEW, Interval};
-use crosslane_coordination::limits::Word as LimitWord;
+use crosslane_coordination::limits::Update as LimitWord;
 use crosslane_coordination::quota;
 use crosslane_coordination::suspicion;
 use crosslane_coordination::usage::Usage;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -174,7 +174,7 @@
             checks: Checks::default(),
             rulings_read: AtomicBool::new(false),
             quota: Desk::new(settings.quota),
-            throttle: Desk::new(limits::BOUND),
+            throttle: Desk::new(limits::TOLERANCE),
             socket: OnceLock::new(),
             in_force: Notify::new(),
             stopping: watch::Sender::new(None),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -302,7 +302,7 @@
 async fn tell_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.limited.notified().await;
-        let news = node.limits().news();
+        let news = node.limits().take_outbox();
         let live = lock(&node.members).addresses(Scope::Live, node.now());
         send_limits(&node, &socket, news.all, &live).await;
         for (endpoint, word) in news.owners {
@@ -316,7 +316,7 @@
 async fn send_limits(
     node: &Node,
     socket: &UdpSocket,
-    words: Vec<(Tag, limits::Word)>,
+    words: Vec<(Tag, limits::Update)>,
     addresses: &[IpAddr],
 ) {
     for words in words.chunks(WORDS) {
@@ -414,7 +414,7 @@
             }
             Ok(Message::Limits { words }) => limit::hear(&node, &words, from.ip()),
             Ok(Message::LimitsWanted) => {
-                let words = node.limits().words();
+                let words = node.limits().snapshot();
                 send_limits(&node, &socket, words, &[from.ip()]).await;
             }
             Ok(Message::Ask { number, subject, cost, word }) => {
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -267,7 +267,7 @@
 fn in_place(subject: Subject, ask: Ask) -> Ask {
     match subject {
         Subject::Organisation(_) => ask,
-        Subject::Endpoint(_) => Ask { limit: limits::deputy(ask.limit), ..ask },
+        Subject::Endpoint(_) => Ask { limit: limits::backup_limit(ask.limit), ..ask },
     }
 }
 
@@ -293,7 +293,7 @@
     let cost = ask.cost;
     let word = match subject {
         Subject::Organisation(_) => None,
-        Subject::Endpoint(endpoint) => node.limits().word(endpoint),
+        Subject::Endpoint(endpoint) => node.limits().latest(endpoint),
     };
     let (number, answer) = node.desk(subject).ask(subject, cost, node.now());
     peers::post(node, &Message::Ask { number, subject, cost, word }, owner);
