--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -10,7 +10,7 @@
 //! same revision, the lower limit. So all nodes converge, whatever the order of messages. What may
 //! be sent under a limit is decided by its owner, as for organisations (`quota`).
 
-use crate::quota::Bound;
+use crate::quota::Tolerance;
 use crosslane_state::endpoint::Tag;
 use crosslane_state::hash;
 use crosslane_state::organisation::Limit;
@@ -33,7 +33,7 @@
 
 /// Tolerance of these limits: nothing is tolerated beyond the limit, and the window is long enough
 /// to save up a whole request at the lowest rate.
-pub const TOLERANCE: Bound = Bound { window: 60_000, overage: 0.0, slack: 0.0 };
+pub const TOLERANCE: Tolerance = Tolerance { window_ms: 60_000, overage: 0.0, slack: 0.0 };
 
 /// Share of the limit that a backup owner grants. Nodes that miss answers of the first owner ask
 /// the next one while others still ask the first; together the two must not grant the limit twice.
--- a/crates/coordination/src/quota.rs
+++ b/crates/coordination/src/quota.rs
@@ -72,46 +72,46 @@
     }
 
     /// Whether the last one was so long ago that it means nothing any more.
-    pub fn forgotten(&self, now: Millis) -> bool {
+    pub fn is_stale(&self, now: Millis) -> bool {
         now.since(self.last_at) >= SKIP_MS * u64::from(MISSES_TO_SKIP)
     }
 
     /// Whether the owner is skipped.
-    pub fn passed_over(&self, now: Millis) -> bool {
+    pub fn should_skip(&self, now: Millis) -> bool {
         self.count >= MISSES_TO_SKIP && now.since(self.last_at) < SKIP_MS
     }
 }
 
 /// Tolerance: how far usage by all nodes together may exceed a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Bound {
+pub struct Tolerance {
     /// Window over which usage is counted, in milliseconds.
-    pub window: u64,
+    pub window_ms: u64,
     /// Tolerated excess as a share of what the limit allows.
     pub overage: f64,
     /// Further excess, in the limit's unit.
     pub slack: f64,
 }
 
-impl Bound {
+impl Tolerance {
     /// Usage in a window that is within a limit.
     pub fn allowed(&self, limit: Limit) -> f64 {
         self.earned(limit) + limit.burst
     }
 
     /// Tolerated usage in a window beyond a limit.
-    pub fn spare(&self, limit: Limit) -> f64 {
+    pub fn tolerated_excess(&self, limit: Limit) -> f64 {
         self.allowed(limit) * self.overage + self.slack
     }
 
     fn earned(&self, limit: Limit) -> f64 {
-        limit.rate * self.window as f64 / 1_000.0
+        limit.rate * self.window_ms as f64 / 1_000.0
     }
 }
 
 /// A request's charge against a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct Charge {
     /// Whose limit it is.
     pub subject: Tag,
     /// The limit.
@@ -124,16 +124,16 @@
 
 /// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum Decision {
     /// It may run.
     Granted,
     /// It would exceed the limit.
-    Over {
+    OverLimit {
         /// Time until there should be room, in milliseconds.
         wait: u64,
     },
     /// The owner sees too little of the fleet, or does not know the limit.
-    Unsure,
+    Undecided,
 }
 
 /// Token bucket of one limit; a level below zero is an overdraft.
@@ -154,41 +154,41 @@
 /// Token buckets of the limits that this node owns, or of its even shares.
 #[derive(Debug)]
 pub struct Quota {
-    tolerance: Bound,
+    tolerance: Tolerance,
     buckets: HashMap<Tag, Bucket>,
 }
 
 impl Quota {
     /// Starts without any buckets.
-    pub fn new(tolerance: Bound) -> Self {
+    pub fn new(tolerance: Tolerance) -> Self {
         Self { tolerance, buckets: HashMap::new() }
     }
 
     /// Creates a limit's bucket if there is none, so that it fills from now on and not only from
     /// the first request.
-    pub fn begin(&mut self, subject: Tag, now: Millis) {
+    pub fn open_bucket(&mut self, subject: Tag, now: Millis) {
         self.buckets.entry(subject).or_insert(Bucket { level: 0.0, refilled_at: now });
     }
 
     /// Decides as the owner, which sees `share` of the fleet.
-    pub fn rule(&mut self, charge: Ask, share: f64, now: Millis) -> Verdict {
+    pub fn decide(&mut self, charge: Charge, share: f64, now: Millis) -> Decision {
         if share < MIN_FLEET_SHARE {
-            return Verdict::Unsure;
+            return Decision::Undecided;
         }
         self.try_spend(charge, share, f64::from(charge.cost), now)
     }
 
     /// Decides by an even share, which may be less than the cost of one request. So a request
     /// passes with the probability that makes the mean right.
-    pub fn rule_alone(&mut self, charge: Ask, share: f64, now: Millis) -> Verdict {
+    pub fn decide_alone(&mut self, charge: Charge, share: f64, now: Millis) -> Decision {
         self.try_spend(charge, share, f64::from(charge.cost) * charge.draw, now)
     }
 
-    fn try_spend(&mut self, charge: Ask, share: f64, needed: f64, now: Millis) -> Verdict {
-        let Ask { subject, limit, cost, draw } = charge;
+    fn try_spend(&mut self, charge: Charge, share: f64, needed: f64, now: Millis) -> Decision {
+        let Charge { subject, limit, cost, draw } = charge;
         let cost = f64::from(cost);
         let rate = limit.rate * share;
-        let spare = self.tolerance.spare(limit) * share;
+        let spare = self.tolerance.tolerated_excess(limit) * share;
         let overdraft = spare * OVERDRAFT;
         // A share of the burst may be less than the cost; then the cost can be saved up within a
         // window.
@@ -198,14 +198,14 @@
         bucket.refill(rate, capacity, now);
         let missing = needed - bucket.level - overdraft;
         if missing > 0.0 {
-            return Verdict::Over { wait: wait_ms(missing / rate, draw) };
+            return Decision::OverLimit { wait: wait_ms(missing / rate, draw) };
         }
         bucket.level -= cost;
-        Verdict::Granted
+        Decision::Granted
     }
 
     /// Refunds the cost of a request that was granted and never ran.
-    pub fn give_back(&mut self, subject: Tag, cost: u32) {
+    pub fn refund(&mut self, subject: Tag, cost: u32) {
         if let Some(bucket) = self.buckets.get_mut(&subject) {
             bucket.level += f64::from(cost);
         }
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -7,7 +7,7 @@
 
 use crosslane_coordination::heartbeat::{self, Interval};
 use crosslane_coordination::limits::{self, Queues, TOLERANCE};
-use crosslane_coordination::quota::{self, Ask, Misses, Quota, Verdict};
+use crosslane_coordination::quota::{self, Charge, Decision, Misses, Quota};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::organisation::Limit;
 use crosslane_state::rate::Rate;
@@ -122,12 +122,12 @@
         (0..self.nodes.len()).filter(sees).collect()
     }
 
-    fn ask(&mut self, at: usize, now: u64) -> Verdict {
+    fn ask(&mut self, at: usize, now: u64) -> Decision {
         let seen = self.seen(at, now);
         let tags = seen.iter().map(|node| (Tag(*node as u64), *node));
         for owner in quota::owners(ENDPOINT, tags) {
             let misses = self.nodes[at].misses.get(&owner);
-            if misses.is_some_and(|misses| misses.passed_over(Millis(now))) {
+            if misses.is_some_and(|misses| misses.should_skip(Millis(now))) {
                 continue;
             }
             let lost = owner != at && self.lost(at, owner, now);
@@ -138,13 +138,13 @@
             }
             self.nodes[at].misses.remove(&owner);
             match self.rule(owner, now) {
-                Verdict::Unsure => {}
+                Decision::Undecided => {}
                 verdict => return verdict,
             }
         }
         let ask = self.charge(limits::backup_limit(self.limit));
         let share = 1.0 / self.nodes.len() as f64;
-        self.nodes[at].alone.rule_alone(ask, share, Millis(now))
+        self.nodes[at].alone.decide_alone(ask, share, Millis(now))
     }
 
     /// Whether a query or its answer gets lost. If only the answer is lost, the grant is lost with
@@ -164,24 +164,24 @@
         query_lost || answer_lost
     }
 
-    fn rule(&mut self, owner: usize, now: u64) -> Verdict {
+    fn rule(&mut self, owner: usize, now: u64) -> Decision {
         let seen = self.seen(owner, now);
         let share = seen.len() as f64 / self.nodes.len() as f64;
         let tags = seen.into_iter().map(|node| (Tag(node as u64), node));
         let is_first = quota::owners(ENDPOINT, tags).first() == Some(&owner);
         let limit = if is_first { self.limit } else { limits::backup_limit(self.limit) };
         let ask = self.charge(limit);
-        match self.nodes[owner].owned.rule(ask, share, Millis(now)) {
-            Verdict::Over { wait } => {
+        match self.nodes[owner].owned.decide(ask, share, Millis(now)) {
+            Decision::OverLimit { wait } => {
                 let queues = &mut self.nodes[owner].queues;
-                Verdict::Over { wait: queues.join(ENDPOINT, limit.rate, wait, Millis(now)) }
+                Decision::OverLimit { wait: queues.join(ENDPOINT, limit.rate, wait, Millis(now)) }
             }
             verdict => verdict,
         }
     }
 
-    fn charge(&mut self, limit: Limit) -> Ask {
-        Ask { subject: ENDPOINT, limit, cost: 1, draw: self.random.random() }
+    fn charge(&mut self, limit: Limit) -> Charge {
+        Charge { subject: ENDPOINT, limit, cost: 1, draw: self.random.random() }
     }
 
     fn schedule_fault(&mut self) {
@@ -247,12 +247,12 @@
                     continue;
                 }
                 match fleet.ask(at, now) {
-                    Verdict::Granted => {
+                    Decision::Granted => {
                         requests.push_back(now);
                         sent += u64::from(now >= WARMUP_MS);
                     }
-                    Verdict::Over { wait } => fleet.nodes[at].held_until = now + wait,
-                    Verdict::Unsure => {}
+                    Decision::OverLimit { wait } => fleet.nodes[at].held_until = now + wait,
+                    Decision::Undecided => {}
                 }
             }
             while requests.front().is_some_and(|time| time + WINDOW_MS < now) {
--- a/crates/coordination/tests/quota.rs
+++ b/crates/coordination/tests/quota.rs
@@ -7,7 +7,7 @@
 //! same requests: nodes with even shares only, and a single bucket that sees all requests and
 //! decides which of them are within the limit.
 
-use crosslane_coordination::quota::{self, Ask, Bound, Quota, Verdict};
+use crosslane_coordination::quota::{self, Charge, Decision, Quota, Tolerance};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::organisation::Limit;
 use crosslane_state::time::Millis;
@@ -17,7 +17,7 @@
 use rstest::rstest;
 use std::collections::VecDeque;
 
-const BOUND: Bound = Bound { window: 8_000, overage: 0.1, slack: 190_000.0 };
+const BOUND: Tolerance = Tolerance { window_ms: 8_000, overage: 0.1, slack: 190_000.0 };
 
 /// A small organisation, which uses 22,000 tokens per second, and a large one.
 const SMALL: Limit = Limit { rate: 47_000.0, burst: 47_000.0 };
@@ -106,7 +106,7 @@
 
     fn granted(&mut self, at: usize, cost: u32, now: u64) -> bool {
         let draw = self.random.random();
-        let ask = Ask { subject: ORGANISATION, limit: self.limit, cost, draw };
+        let ask = Charge { subject: ORGANISATION, limit: self.limit, cost, draw };
         if self.mode == Mode::Owner {
             for owner in self.owners(at, now) {
                 let reached = owner == at || !(self.away(owner, now) || self.away(at, now));
@@ -114,14 +114,14 @@
                 if !reached {
                     continue;
                 }
-                match self.nodes[owner].owned.rule(ask, share, Millis(now)) {
-                    Verdict::Unsure => {}
-                    verdict => return verdict == Verdict::Granted,
+                match self.nodes[owner].owned.decide(ask, share, Millis(now)) {
+                    Decision::Undecided => {}
+                    verdict => return verdict == Decision::Granted,
                 }
             }
         }
         let share = 1.0 / self.nodes.len() as f64;
-        self.nodes[at].alone.rule_alone(ask, share, Millis(now)) == Verdict::Granted
+        self.nodes[at].alone.decide_alone(ask, share, Millis(now)) == Decision::Granted
     }
 
     fn restart(&mut self, node: usize) {
@@ -180,10 +180,10 @@
         let random = SmallRng::seed_from_u64(self.seed);
         let mut fleet = Fleet { nodes, limit: self.limit, mode: self.mode, random };
         fleet.schedule_fault(self.fault);
-        let mut reference = Quota::new(Bound { overage: 0.0, slack: 0.0, ..BOUND });
+        let mut reference = Quota::new(Tolerance { overage: 0.0, slack: 0.0, ..BOUND });
         let mut usage: VecDeque<(u64, f64)> = VecDeque::new();
         let (mut sum, mut outcome) = (0.0, Outcome::default());
-        let tolerated = BOUND.allowed(self.limit) + BOUND.spare(self.limit);
+        let tolerated = BOUND.allowed(self.limit) + BOUND.tolerated_excess(self.limit);
         let usual = self.limit.rate / 1.8;
         let mut due = 0.0;
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
@@ -201,8 +201,8 @@
                 if fleet.nodes[at].killed && fleet.away(at, now) {
                     continue;
                 }
-                let ask = Ask { subject: ORGANISATION, limit: self.limit, cost, draw: 0.5 };
-                let within_limit = reference.rule(ask, 1.0, Millis(now)) == Verdict::Granted;
+                let ask = Charge { subject: ORGANISATION, limit: self.limit, cost, draw: 0.5 };
+                let within_limit = reference.decide(ask, 1.0, Millis(now)) == Decision::Granted;
                 let granted = fleet.granted(at, cost, now);
                 outcome.within_limit += if within_limit { f64::from(cost) } else { 0.0 };
                 if granted {
@@ -211,7 +211,7 @@
                     sum += f64::from(cost);
                 }
             }
-            while usage.front().is_some_and(|entry| entry.0 + BOUND.window < now) {
+            while usage.front().is_some_and(|entry| entry.0 + BOUND.window_ms < now) {
                 sum -= usage.pop_front().map_or(0.0, |entry| entry.1);
             }
             outcome.most = outcome.most.max(sum / tolerated);
@@ -274,32 +274,32 @@
 
 #[rstest]
 fn cost_of_a_request_that_never_ran_is_refunded() {
-    let mut quota = Quota::new(Bound { window: 8_000, ..Bound::default() });
+    let mut quota = Quota::new(Tolerance { window_ms: 8_000, ..Tolerance::default() });
     let limit = Limit { rate: 100.0, burst: 100.0 };
-    let ask = Ask { subject: ORGANISATION, limit, cost: 100, draw: 0.0 };
-    let rule = |quota: &mut Quota, now| quota.rule(ask, 1.0, Millis(now));
-    assert_eq!(rule(&mut quota, 0), Verdict::Over { wait: 1_000 });
-    assert_eq!(rule(&mut quota, 1_000), Verdict::Granted);
-    assert!(matches!(rule(&mut quota, 1_000), Verdict::Over { .. }));
-    quota.give_back(ORGANISATION, 100);
-    assert_eq!(rule(&mut quota, 1_000), Verdict::Granted);
+    let ask = Charge { subject: ORGANISATION, limit, cost: 100, draw: 0.0 };
+    let rule = |quota: &mut Quota, now| quota.decide(ask, 1.0, Millis(now));
+    assert_eq!(rule(&mut quota, 0), Decision::OverLimit { wait: 1_000 });
+    assert_eq!(rule(&mut quota, 1_000), Decision::Granted);
+    assert!(matches!(rule(&mut quota, 1_000), Decision::OverLimit { .. }));
+    quota.refund(ORGANISATION, 100);
+    assert_eq!(rule(&mut quota, 1_000), Decision::Granted);
 }
 
 #[rstest]
 fn an_owner_that_sees_less_than_half_of_the_fleet_decides_nothing() {
     let mut quota = Quota::new(BOUND);
-    let ask = Ask { subject: ORGANISATION, limit: SMALL, cost: 1, draw: 0.0 };
-    assert_eq!(quota.rule(ask, 0.49, Millis(0)), Verdict::Unsure);
-    assert_eq!(quota.rule(ask, 0.5, Millis(0)), Verdict::Granted);
+    let ask = Charge { subject: ORGANISATION, limit: SMALL, cost: 1, draw: 0.0 };
+    assert_eq!(quota.decide(ask, 0.49, Millis(0)), Decision::Undecided);
+    assert_eq!(quota.decide(ask, 0.5, Millis(0)), Decision::Granted);
 }
 
 #[rstest]
 fn a_bucket_fills_before_the_first_request() {
-    let mut quota = Quota::new(Bound { window: 60_000, ..Bound::default() });
+    let mut quota = Quota::new(Tolerance { window_ms: 60_000, ..Tolerance::default() });
     let limit = Limit { rate: 0.5, burst: 0.25 };
-    let ask = Ask { subject: ORGANISATION, limit, cost: 1, draw: 0.0 };
-    quota.begin(ORGANISATION, Millis(0));
-    assert_eq!(quota.rule(ask, 1.0, Millis(2_000)), Verdict::Granted);
-    quota.begin(ORGANISATION, Millis(2_000));
-    assert_eq!(quota.rule(ask, 1.0, Millis(3_000)), Verdict::Over { wait: 1_000 });
+    let ask = Charge { subject: ORGANISATION, limit, cost: 1, draw: 0.0 };
+    quota.open_bucket(ORGANISATION, Millis(0));
+    assert_eq!(quota.decide(ask, 1.0, Millis(2_000)), Decision::Granted);
+    quota.open_bucket(ORGANISATION, Millis(2_000));
+    assert_eq!(quota.decide(ask, 1.0, Millis(3_000)), Decision::OverLimit { wait: 1_000 });
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -126,7 +126,7 @@
         /// Whose limit.
         subject: Subject,
         /// Answer.
-        verdict: quota::Verdict,
+        verdict: quota::Decision,
     },
     /// Gives back what was granted and not used.
     GivenBack {
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -11,7 +11,7 @@
 use crate::peers;
 use crate::refusal::{Reason, Refusal};
 use crosslane_coordination::limits;
-use crosslane_coordination::quota::{Ask, Bound, Misses, Quota, Verdict};
+use crosslane_coordination::quota::{Charge, Decision, Misses, Quota, Tolerance};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::organisation::{Limit, Organisation};
 use crosslane_state::time::Millis;
@@ -46,7 +46,7 @@
 /// A question to an owner.
 #[derive(Debug)]
 struct Question {
-    waiting: oneshot::Sender<Verdict>,
+    waiting: oneshot::Sender<Decision>,
     subject: Subject,
     cost: u32,
     asked: Millis,
@@ -66,7 +66,7 @@
 
 impl Desk {
     /// Nothing used yet.
-    pub fn new(bound: Bound) -> Self {
+    pub fn new(bound: Tolerance) -> Self {
         Self {
             owned: Mutex::new(Quota::new(bound)),
             alone: Mutex::new(Quota::new(bound)),
@@ -82,7 +82,7 @@
         subject: Subject,
         cost: u32,
         asked: Millis,
-    ) -> (u32, oneshot::Receiver<Verdict>) {
+    ) -> (u32, oneshot::Receiver<Decision>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (waiting, answer) = oneshot::channel();
         lock(&self.pending).insert(number, Question { waiting, subject, cost, asked });
@@ -91,22 +91,22 @@
 
     /// Takes an owner's answer. What it granted to a request that waits no longer is to be given back: whose,
     /// and how much.
-    pub fn hear(&self, number: u32, verdict: Verdict) -> Option<(Subject, u32)> {
+    pub fn hear(&self, number: u32, verdict: Decision) -> Option<(Subject, u32)> {
         let Question { waiting, subject, cost, .. } = lock(&self.pending).remove(&number)?;
         let unheard = waiting.send(verdict).is_err();
-        (unheard && verdict == Verdict::Granted).then_some((subject, cost))
+        (unheard && verdict == Decision::Granted).then_some((subject, cost))
     }
 
     /// Takes back what another node was granted and did not use.
     pub fn hear_back(&self, subject: Subject, cost: u32) {
-        lock(&self.owned).give_back(subject.tag(), cost);
+        lock(&self.owned).refund(subject.tag(), cost);
     }
 
     /// Forgets what is over.
     pub fn tidy(&self, now: Millis) {
         lock(&self.owned).expire(now);
         lock(&self.alone).expire(now);
-        lock(&self.silent).retain(|_, it| !it.forgotten(now));
+        lock(&self.silent).retain(|_, it| !it.is_stale(now));
         lock(&self.pending).retain(|_, it| now.since(it.asked) < LATE_ANSWER);
     }
 }
@@ -155,7 +155,7 @@
         };
         let desk = self.node.desk(subject);
         match source {
-            Source::Alone => lock(&desk.alone).give_back(subject.tag(), cost),
+            Source::Alone => lock(&desk.alone).refund(subject.tag(), cost),
             Source::Owner(ip) if ip == self.node.settings.ip => desk.hear_back(subject, cost),
             Source::Owner(ip) => {
                 peers::post(&self.node, &Message::GivenBack { subject, cost }, ip);
@@ -203,21 +203,21 @@
     limit: Limit,
     cost: u32,
 ) -> Result<Grant, Over> {
-    let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
+    let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
     let (verdict, source) = rule(node, subject, ask).await;
-    if let Verdict::Over { wait: wait_ms } = verdict {
+    if let Decision::OverLimit { wait: wait_ms } = verdict {
         return Err(Over { wait_ms, source });
     }
     Ok(Grant::new(node, Some(Taken { subject, cost, source })))
 }
 
 /// What the owner says, the next one in its place, or this node alone.
-async fn rule(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
+async fn rule(node: &Arc<Node>, subject: Subject, ask: Charge) -> (Decision, Source) {
     let owners = owners(node, subject);
     let desk = node.desk(subject);
     for owner in owners {
         let silence = lock(&desk.silent).get(&owner).copied();
-        if silence.is_some_and(|it| it.passed_over(node.now())) {
+        if silence.is_some_and(|it| it.should_skip(node.now())) {
             continue;
         }
         let verdict = if owner == node.settings.ip {
@@ -230,20 +230,20 @@
             continue;
         };
         lock(&desk.silent).remove(&owner);
-        if verdict != Verdict::Unsure {
+        if verdict != Decision::Undecided {
             return (verdict, Source::Owner(owner));
         }
     }
     let (_, known) = lock(&node.members).seen(node.now());
     let share = 1.0 / known as f64;
     let ask = in_place(subject, ask);
-    (lock(&desk.alone).rule_alone(ask, share, node.now()), Source::Alone)
+    (lock(&desk.alone).decide_alone(ask, share, node.now()), Source::Alone)
 }
 
 /// Begins to count against a limit that this node owns.
 pub fn begin(node: &Node, subject: Subject) {
     if owns(node, subject) {
-        lock(&node.desk(subject).owned).begin(subject.tag(), node.now());
+        lock(&node.desk(subject).owned).open_bucket(subject.tag(), node.now());
     }
 }
 
@@ -264,32 +264,32 @@
 
 /// What is asked for in the place of a limit's first owner, which may rule at the same time. What organisations may use beyond
 /// their limits covers that.
-fn in_place(subject: Subject, ask: Ask) -> Ask {
+fn in_place(subject: Subject, ask: Charge) -> Charge {
     match subject {
         Subject::Organisation(_) => ask,
-        Subject::Endpoint(_) => Ask { limit: limits::backup_limit(ask.limit), ..ask },
+        Subject::Endpoint(_) => Charge { limit: limits::backup_limit(ask.limit), ..ask },
     }
 }
 
 /// Rules on a request as the limit's owner, or in the owner's place.
-fn own(node: &Node, subject: Subject, mut ask: Ask) -> Verdict {
+fn own(node: &Node, subject: Subject, mut ask: Charge) -> Decision {
     let now = node.now();
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
         ask = in_place(subject, ask);
     }
     let (seen, known) = lock(&node.members).seen(now);
     let share = seen as f64 / known as f64;
-    let verdict = lock(&node.desk(subject).owned).rule(ask, share, now);
+    let verdict = lock(&node.desk(subject).owned).decide(ask, share, now);
     match (subject, verdict) {
-        (Subject::Endpoint(endpoint), Verdict::Over { wait }) => {
+        (Subject::Endpoint(endpoint), Decision::OverLimit { wait }) => {
             let wait = lock(&node.queues).join(endpoint, ask.limit.rate, wait, now);
-            Verdict::Over { wait }
+            Decision::OverLimit { wait }
         }
         _ => verdict,
     }
 }
 
-async fn question(node: &Node, subject: Subject, ask: Ask, owner: IpAddr) -> Option<Verdict> {
+async fn question(node: &Node, subject: Subject, ask: Charge, owner: IpAddr) -> Option<Decision> {
     let cost = ask.cost;
     let word = match subject {
         Subject::Organisation(_) => None,
@@ -303,12 +303,14 @@
 /// Answers another node's question.
 pub fn answer(node: &Node, number: u32, subject: Subject, cost: u32) -> Message {
     let (limit, without) = match subject {
-        Subject::Organisation(organisation) => (configured(node, organisation), Verdict::Unsure),
+        Subject::Organisation(organisation) => {
+            (configured(node, organisation), Decision::Undecided)
+        }
         // It names none any more, which the asker is told besides.
-        Subject::Endpoint(endpoint) => (limit::of(node, endpoint), Verdict::Granted),
+        Subject::Endpoint(endpoint) => (limit::of(node, endpoint), Decision::Granted),
     };
     let verdict = limit.map_or(without, |limit| {
-        let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
+        let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
         own(node, subject, ask)
     });
     Message::Ruled { number, subject, verdict }
