--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -11,7 +11,7 @@
 use crate::peers;
 use crate::quota::{self, Exceeded, Grant};
 use crate::refusal::{Reason, Refusal};
-use crosslane_coordination::limits::{self, Change, Word};
+use crosslane_coordination::limits::{self, Change, Update};
 use crosslane_platform::answer::LimitError;
 use crosslane_state::endpoint::{Endpoint, Key, Stage, Tag};
 use crosslane_state::organisation::Limit;
@@ -39,13 +39,13 @@
     let rate = match named {
         Ok(rate) => *rate,
         Err(error) => {
-            if node.limits().unreadable(endpoint.tag()) {
+            if node.limits().mark_invalid(endpoint.tag()) {
                 warn!(from, why:% = error; "{}", event::SKIPPED);
             }
             return;
         }
     };
-    let change = node.limits().note(endpoint.tag(), rate, sent_at, node.now());
+    let change = node.limits().observe(endpoint.tag(), rate, sent_at, node.now());
     if let Some(change) = change {
         apply(node, endpoint.tag(), change, "answer");
         node.limits_changed.notify_one();
@@ -53,9 +53,9 @@
 }
 
 /// Merges another node's updates.
-pub fn merge(node: &Node, updates: &[(Tag, Word)], from: IpAddr) {
+pub fn merge(node: &Node, updates: &[(Tag, Update)], from: IpAddr) {
     for (endpoint, update) in updates {
-        let change = node.limits().hear(*endpoint, *update, node.now());
+        let change = node.limits().apply(*endpoint, *update, node.now());
         if let Some(change) = change {
             apply(node, *endpoint, change, from);
         }
@@ -63,12 +63,12 @@
 }
 
 /// Merges what a querying node knows of a limit, and sends it the newer state if it is behind.
-pub fn sync_with_querier(node: &Node, subject: Subject, theirs: Option<Word>, from: IpAddr) {
+pub fn sync_with_querier(node: &Node, subject: Subject, theirs: Option<Update>, from: IpAddr) {
     let (Subject::Endpoint(endpoint), Some(theirs)) = (subject, theirs) else {
         return;
     };
     merge(node, &[(endpoint, theirs)], from);
-    let ours = node.limits().word(endpoint);
+    let ours = node.limits().latest(endpoint);
     if let Some(ours) = ours.filter(|word| *word != theirs) {
         peers::try_send(node, &Message::Limits { limits: vec![(endpoint, ours)] }, from);
     }
@@ -83,7 +83,7 @@
     pool.end_throttle(endpoint, change.rate.is_none(), node.now());
     let to = pool.key(endpoint).and_then(|key| pool.get(key)).map(|listed| listed.id.as_str());
     let to = to.unwrap_or_default();
-    let (per_second, before) = (rate_text(change.rate), rate_text(change.before));
+    let (per_second, before) = (rate_text(change.rate), rate_text(change.previous));
     info!(to, per_second, before, source:%; "{}", event::LIMIT);
 }
 
@@ -94,7 +94,7 @@
 
 /// Limit of an endpoint for all nodes together, if it names one.
 pub fn endpoint_limit(node: &Node, endpoint: Tag) -> Option<Limit> {
-    node.limits().rate(endpoint).map(limits::limit)
+    node.limits().rate(endpoint).map(limits::fleet_limit)
 }
 
 /// Takes a request's cost from the limit of an endpoint, if it names one.
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -6,7 +6,7 @@
 
 use crate::mirror::Offsets;
 use crosslane_coordination::heartbeat::{self, FEW, Interval};
-use crosslane_coordination::limits::Word as LimitWord;
+use crosslane_coordination::limits::Update as LimitWord;
 use crosslane_coordination::quota;
 use crosslane_coordination::suspicion;
 use crosslane_coordination::usage::Usage;
@@ -94,7 +94,7 @@
         /// Tag of the sender's VM.
         vm: Tag,
         /// Suspicions by request.
-        suspicions: Vec<(Fingerprint, suspicion::Word)>,
+        suspicions: Vec<(Fingerprint, suspicion::Update)>,
     },
     /// Digest of the rulings that the sender has, sent after each heartbeat while there are any.
     RulingsDigest {
@@ -128,7 +128,7 @@
         /// Owner of the limit.
         subject: Subject,
         /// The answer.
-        verdict: quota::Verdict,
+        verdict: quota::Decision,
     },
     /// Returns a grant that was not used.
     QuotaReturn {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -176,7 +176,7 @@
             checks: Checks::default(),
             rulings_read_tried: AtomicBool::new(false),
             quota: Limiter::new(settings.quota),
-            throttle: Limiter::new(limits::BOUND),
+            throttle: Limiter::new(limits::TOLERANCE),
             socket: OnceLock::new(),
             configuration_applied: Notify::new(),
             stopping: watch::Sender::new(None),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -19,7 +19,7 @@
 use crate::{limit, pull, quarantine, quota};
 use crosslane_coordination::heartbeat::FAR_EVERY;
 use crosslane_coordination::limits;
-use crosslane_coordination::suspicion::Word;
+use crosslane_coordination::suspicion::Update;
 use crosslane_platform::store::Client;
 use crosslane_state::endpoint::Tag;
 use crosslane_state::fingerprint::Fingerprint;
@@ -289,7 +289,7 @@
 async fn broadcast_suspicions(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.suspicions_changed.notified().await;
-        let suspicions = node.quarantine().words();
+        let suspicions = node.quarantine().take_outbox();
         let addresses = lock(&node.members).addresses(Scope::Live, node.now());
         send_suspicions(&node, &socket, suspicions, &addresses).await;
     }
@@ -298,7 +298,7 @@
 async fn send_suspicions(
     node: &Node,
     socket: &UdpSocket,
-    suspicions: Vec<(Fingerprint, Word)>,
+    suspicions: Vec<(Fingerprint, Update)>,
     addresses: &[IpAddr],
 ) {
     for chunk in suspicions.chunks(DATAGRAM_ENTRIES) {
@@ -311,7 +311,7 @@
 async fn broadcast_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.limits_changed.notified().await;
-        let changes = node.limits().news();
+        let changes = node.limits().take_outbox();
         let live = lock(&node.members).addresses(Scope::Live, node.now());
         send_limits(&node, &socket, changes.all, &live).await;
         for (endpoint, limit) in changes.owners {
@@ -325,7 +325,7 @@
 async fn send_limits(
     node: &Node,
     socket: &UdpSocket,
-    entries: Vec<(Tag, limits::Word)>,
+    entries: Vec<(Tag, limits::Update)>,
     addresses: &[IpAddr],
 ) {
     for chunk in entries.chunks(DATAGRAM_ENTRIES) {
@@ -345,7 +345,7 @@
 /// its failure domain.
 async fn send_unruled_suspicions(node: &Node, socket: &UdpSocket, to: IpAddr) {
     if lock(&node.members).is_store_reader(node.now()) {
-        let suspicions = node.quarantine().known();
+        let suspicions = node.quarantine().known_strikes();
         send_suspicions(node, socket, suspicions, &[to]).await;
     }
 }
@@ -354,7 +354,7 @@
 async fn send_rulings(node: &Node, socket: &UdpSocket, to: IpAddr) {
     let rulings: Vec<_> = node.quarantine().rulings().collect();
     let suspicions =
-        rulings.into_iter().map(|(request, ruling)| (request, Word::Ruled(ruling))).collect();
+        rulings.into_iter().map(|(request, ruling)| (request, Update::Ruled(ruling))).collect();
     send_suspicions(node, socket, suspicions, &[to]).await;
 }
 
@@ -427,7 +427,7 @@
             }
             Ok(Message::Limits { limits }) => limit::merge(&node, &limits, from.ip()),
             Ok(Message::LimitsRequest) => {
-                let limits = node.limits().words();
+                let limits = node.limits().snapshot();
                 send_limits(&node, &socket, limits, &[from.ip()]).await;
             }
             Ok(Message::QuotaRequest { number, subject, cost, word }) => {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -9,10 +9,10 @@
 use crate::node::{Node, lock};
 use crate::refusal::{Reason, Refusal};
 use crate::stream;
-use crosslane_coordination::quarantine::{ANNOUNCED, BLAMED, INNOCENT};
-use crosslane_coordination::ruling::{SHUT, Verdict};
-use crosslane_coordination::suspect::{SHUT_AT, TOGETHER};
-use crosslane_coordination::suspicion::{Standing, Strike, Word};
+use crosslane_coordination::quarantine::{ANNOUNCE_DELAY_MS, BLAME_WINDOW_MS, INNOCENT_AFTER_MS};
+use crosslane_coordination::ruling::{SHUT_OUT_MS, Verdict};
+use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
+use crosslane_coordination::suspicion::{Status, Strike, Update};
 use crosslane_platform::ask::Purpose;
 use crosslane_state::endpoint::{Endpoint, Key, Tag};
 use crosslane_state::fingerprint::Fingerprint;
@@ -96,11 +96,11 @@
 impl Drop for Probe {
     fn drop(&mut self) {
         let ran = self.started_at.map_or(0, |started_at| self.node.now().since(started_at));
-        let innocent = self.completed || ran >= INNOCENT;
+        let innocent = self.completed || ran >= INNOCENT_AFTER_MS;
         let mut quarantine = self.node.quarantine();
         let cleared = innocent && quarantine.clear(self.request);
         if !innocent {
-            quarantine.rest(self.request, self.node.now());
+            quarantine.end_trial(self.request, self.node.now());
         }
         drop(quarantine);
         if cleared {
@@ -114,19 +114,19 @@
 /// Whether a request may be sent now.
 pub fn check(node: &Node, call: &Call) -> Result<(), Failure> {
     match request_status(node, call) {
-        Standing::Free | Standing::Suspect => Ok(()),
-        Standing::OnTrial => Err(Failure::ProbeRunning),
-        Standing::Shut(_) => Err(Failure::Blocked),
+        Status::Clear | Status::Suspect => Ok(()),
+        Status::OnTrial => Err(Failure::ProbeRunning),
+        Status::ShutOut(_) => Err(Failure::Blocked),
     }
 }
 
 /// Whether a request is free, suspect, being probed or blocked.
-fn request_status(node: &Node, call: &Call) -> Standing {
+fn request_status(node: &Node, call: &Call) -> Status {
     if node.quarantine().is_empty() {
-        return Standing::Free;
+        return Status::Clear;
     }
     let request = call.fingerprint();
-    node.quarantine().standing(request, node.now(), clock::unix())
+    node.quarantine().status(request, node.now(), clock::unix())
 }
 
 /// Admits a request to an endpoint. While a suspect runs, its copies are held back; a prefill does not count as a run.
@@ -138,10 +138,10 @@
 ) -> Result<Option<Probe>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match request_status(node, call) {
-        Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
-        Standing::OnTrial if runs => Err(log_rejection(call, Failure::ProbeRunning)),
-        Standing::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(None),
+        Status::ShutOut(_) => Err(log_rejection(call, Failure::Blocked)),
+        Status::OnTrial if runs => Err(log_rejection(call, Failure::ProbeRunning)),
+        Status::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
+        Status::Clear | Status::Suspect | Status::OnTrial => Ok(None),
     }
 }
 
@@ -151,20 +151,20 @@
     let (request, tag) = (call.fingerprint(), endpoint.tag());
     {
         let mut quarantine = node.quarantine();
-        if quarantine.trials(request, node.now()).contains(&tag) {
+        if quarantine.other_trials(request, node.now()).contains(&tag) {
             return Err(beside_another(call));
         }
-        quarantine.begin(request, tag, node.now());
+        quarantine.begin_trial(request, tag, node.now());
     }
     node.suspicions_changed.notify_one();
     let probe = Probe { node: node.clone(), request, started_at: None, completed: false };
-    sleep(Duration::from_millis(ANNOUNCED)).await;
-    if node.quarantine().gives_way(request, tag, node.now()) {
+    sleep(Duration::from_millis(ANNOUNCE_DELAY_MS)).await;
+    if node.quarantine().must_yield(request, tag, node.now()) {
         return Err(beside_another(call));
     }
     match request_status(node, call) {
-        Standing::Shut(_) => Err(log_rejection(call, Failure::Blocked)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => Ok(probe),
+        Status::ShutOut(_) => Err(log_rejection(call, Failure::Blocked)),
+        Status::Clear | Status::Suspect | Status::OnTrial => Ok(probe),
     }
 }
 
@@ -175,10 +175,10 @@
 
 /// Engines at which other suspects run; a suspect is not placed there.
 pub fn engines_with_probes(node: &Node, call: &Call) -> Vec<Key> {
-    if request_status(node, call) != Standing::Suspect {
+    if request_status(node, call) != Status::Suspect {
         return Vec::new();
     }
-    let engines = node.quarantine().trials(call.fingerprint(), node.now());
+    let engines = node.quarantine().other_trials(call.fingerprint(), node.now());
     let pool = node.pool();
     engines.into_iter().filter_map(|engine| pool.key(engine)).collect()
 }
@@ -187,8 +187,8 @@
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
     log_rejection(call, failure);
     match request_status(node, call) {
-        Standing::Shut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
-        Standing::Free | Standing::Suspect | Standing::OnTrial => {
+        Status::ShutOut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
+        Status::Clear | Status::Suspect | Status::OnTrial => {
             stream::retry_later(failure.into())
         }
     }
@@ -216,12 +216,12 @@
     let ran_ms = node.now().since(started_at);
     let fingerprint = call.fingerprint();
     info!(request, to, ran_ms, fingerprint:%; "{}", event::BROKE);
-    if ran_ms > BLAMED {
+    if ran_ms > BLAME_WINDOW_MS {
         // No evidence against the request, but used to detect that many endpoints end together.
         let (node, endpoint) = (node.clone(), endpoint.clone());
         tokio::spawn(async move {
             if node.checks.gone(&endpoint).await {
-                node.quarantine().ended(endpoint.tag(), node.now());
+                node.quarantine().record_crash(endpoint.tag(), node.now());
             }
         });
         return;
@@ -241,19 +241,19 @@
 
 /// Counts a strike against a request, and schedules the verdict once there are enough.
 fn strike(node: &Arc<Node>, request: &str, fingerprint: Fingerprint, endpoint: &Endpoint) {
-    let result = node.quarantine().strike(fingerprint, endpoint.tag(), node.now());
+    let result = node.quarantine().record_strike(fingerprint, endpoint.tag(), node.now());
     let to = endpoint.id.as_str();
-    let Strike::Held(strikes) = result else {
+    let Strike::Counted(strikes) = result else {
         info!(request, fingerprint:%, to, why:% = result; "{}", event::SPARED);
         return;
     };
     node.meter.strikes.inc();
     info!(request, fingerprint:%, to, strikes; "{}", event::STRUCK);
     node.suspicions_changed.notify_one();
-    if strikes >= SHUT_AT {
+    if strikes >= STRIKES_TO_SHUT_OUT {
         let node = node.clone();
         tokio::spawn(async move {
-            sleep(Duration::from_millis(TOGETHER)).await;
+            sleep(Duration::from_millis(JOINT_CRASH_WINDOW_MS)).await;
             settle(&node);
         });
     }
@@ -264,9 +264,9 @@
     let (now, unix) = (node.now(), clock::unix());
     let (shut, acquitted) = {
         let mut quarantine = node.quarantine();
-        (quarantine.settle(now, unix), quarantine.acquit(now, unix))
+        (quarantine.shut_out_due(now, unix), quarantine.lift_superseded(now, unix))
     };
-    let for_s = SHUT / 1_000;
+    let for_s = SHUT_OUT_MS / 1_000;
     for fingerprint in &shut {
         warn!(fingerprint:%, verdict:% = Verdict::Shut, source = "here", for_s; "{}", event::RULED);
     }
@@ -281,14 +281,14 @@
 }
 
 /// Merges another node's updates.
-pub fn merge(node: &Node, from: Tag, updates: Vec<(Fingerprint, Word)>) {
+pub fn merge(node: &Node, from: Tag, updates: Vec<(Fingerprint, Update)>) {
     let (now, unix) = (node.now(), clock::unix());
     for (fingerprint, update) in updates {
         let verdict = match &update {
-            Word::Ruled(ruling) => ruling.verdict.to_string(),
+            Update::Ruled(ruling) => ruling.verdict.to_string(),
             _ => String::new(),
         };
-        if node.quarantine().hear(from, fingerprint, update, now, unix) {
+        if node.quarantine().apply(from, fingerprint, update, now, unix) {
             info!(fingerprint:%, verdict, source = "peer"; "{}", event::RULED);
         }
     }
@@ -304,5 +304,5 @@
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
     }
-    node.meter.blocked_requests.set(quarantine.shut_count() as i64);
+    node.meter.blocked_requests.set(quarantine.shut_out_count() as i64);
 }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -11,7 +11,7 @@
 use crate::peers;
 use crate::refusal::{Reason, Refusal};
 use crosslane_coordination::limits;
-use crosslane_coordination::quota::{Ask, Bound, Misses, Quota, Verdict};
+use crosslane_coordination::quota::{Charge, Decision, Misses, Quota, Tolerance};
 use crosslane_state::endpoint::Tag;
 use crosslane_state::organisation::{Limit, Organisation};
 use crosslane_state::time::Millis;
@@ -46,7 +46,7 @@
 /// A query to an owner that has no reply yet.
 #[derive(Debug)]
 struct Query {
-    reply: oneshot::Sender<Verdict>,
+    reply: oneshot::Sender<Decision>,
     subject: Subject,
     cost: u32,
     asked_at: Millis,
@@ -68,7 +68,7 @@
 
 impl Limiter {
     /// A limiter with nothing used yet.
-    pub fn new(bound: Bound) -> Self {
+    pub fn new(bound: Tolerance) -> Self {
         Self {
             owned: Mutex::new(Quota::new(bound)),
             shares: Mutex::new(Quota::new(bound)),
@@ -84,7 +84,7 @@
         subject: Subject,
         cost: u32,
         asked_at: Millis,
-    ) -> (u32, oneshot::Receiver<Verdict>) {
+    ) -> (u32, oneshot::Receiver<Decision>) {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (reply, receiver) = oneshot::channel();
         lock(&self.pending).insert(number, Query { reply, subject, cost, asked_at });
@@ -92,22 +92,22 @@
     }
 
     /// Delivers an owner's reply. Returns the subject and cost to refund if it grants a request that no longer waits.
-    pub fn resolve(&self, number: u32, verdict: Verdict) -> Option<(Subject, u32)> {
+    pub fn resolve(&self, number: u32, verdict: Decision) -> Option<(Subject, u32)> {
         let Query { reply, subject, cost, .. } = lock(&self.pending).remove(&number)?;
         let abandoned = reply.send(verdict).is_err();
-        (abandoned && verdict == Verdict::Granted).then_some((subject, cost))
+        (abandoned && verdict == Decision::Granted).then_some((subject, cost))
     }
 
     /// Refunds a grant that another node did not use.
     pub fn refund(&self, subject: Subject, cost: u32) {
-        lock(&self.owned).give_back(subject.tag(), cost);
+        lock(&self.owned).refund(subject.tag(), cost);
     }
 
     /// Removes expired state.
     pub fn remove_expired(&self, now: Millis) {
         lock(&self.owned).expire(now);
         lock(&self.shares).expire(now);
-        lock(&self.unresponsive).retain(|_, misses| !misses.forgotten(now));
+        lock(&self.unresponsive).retain(|_, misses| !misses.is_stale(now));
         lock(&self.pending).retain(|_, query| now.since(query.asked_at) < LATE_REPLY_MS);
     }
 }
@@ -157,7 +157,7 @@
         };
         let limiter = self.node.limiter(subject);
         match source {
-            Source::EvenShare => lock(&limiter.shares).give_back(subject.tag(), cost),
+            Source::EvenShare => lock(&limiter.shares).refund(subject.tag(), cost),
             Source::Owner(ip) if ip == self.node.settings.ip => limiter.refund(subject, cost),
             Source::Owner(ip) => {
                 peers::try_send(&self.node, &Message::QuotaReturn { subject, cost }, ip);
@@ -205,21 +205,21 @@
     limit: Limit,
     cost: u32,
 ) -> Result<Grant, Exceeded> {
-    let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
+    let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
     let (verdict, source) = decide(node, subject, ask).await;
-    if let Verdict::Over { wait: wait_ms } = verdict {
+    if let Decision::OverLimit { wait: wait_ms } = verdict {
         return Err(Exceeded { wait_ms, source });
     }
     Ok(Grant::new(node, Some(Charge { subject, cost, source })))
 }
 
 /// Verdict of the owner, of the next node in its place, or of this node alone.
-async fn decide(node: &Arc<Node>, subject: Subject, ask: Ask) -> (Verdict, Source) {
+async fn decide(node: &Arc<Node>, subject: Subject, ask: Charge) -> (Decision, Source) {
     let owners = owners(node, subject);
     let limiter = node.limiter(subject);
     for owner in owners {
         let misses = lock(&limiter.unresponsive).get(&owner).copied();
-        if misses.is_some_and(|known| known.passed_over(node.now())) {
+        if misses.is_some_and(|known| known.should_skip(node.now())) {
             continue;
         }
         let verdict = if owner == node.settings.ip {
@@ -232,20 +232,20 @@
             continue;
         };
         lock(&limiter.unresponsive).remove(&owner);
-        if verdict != Verdict::Unsure {
+        if verdict != Decision::Undecided {
             return (verdict, Source::Owner(owner));
         }
     }
     let (_, known) = lock(&node.members).live_and_serving(node.now());
     let share = 1.0 / known as f64;
     let ask = as_deputy(subject, ask);
-    (lock(&limiter.shares).rule_alone(ask, share, node.now()), Source::EvenShare)
+    (lock(&limiter.shares).decide_alone(ask, share, node.now()), Source::EvenShare)
 }
 
 /// Starts the bucket of a limit, if this node owns it.
 pub fn start_bucket(node: &Node, subject: Subject) {
     if owns(node, subject) {
-        lock(&node.limiter(subject).owned).begin(subject.tag(), node.now());
+        lock(&node.limiter(subject).owned).open_bucket(subject.tag(), node.now());
     }
 }
 
@@ -266,37 +266,37 @@
 
 /// Reduces a limit that is decided on in the place of its first owner, which may grant at the same time. Limits of
 /// organisations are not reduced: their tolerated overage covers it.
-fn as_deputy(subject: Subject, ask: Ask) -> Ask {
+fn as_deputy(subject: Subject, ask: Charge) -> Charge {
     match subject {
         Subject::Organisation(_) => ask,
-        Subject::Endpoint(_) => Ask { limit: limits::deputy(ask.limit), ..ask },
+        Subject::Endpoint(_) => Charge { limit: limits::backup_limit(ask.limit), ..ask },
     }
 }
 
 /// Decides on a request as the limit's owner, or in the owner's place.
-fn decide_as_owner(node: &Node, subject: Subject, mut ask: Ask) -> Verdict {
+fn decide_as_owner(node: &Node, subject: Subject, mut ask: Charge) -> Decision {
     let now = node.now();
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
         ask = as_deputy(subject, ask);
     }
     let (seen, known) = lock(&node.members).live_and_serving(now);
     let share = seen as f64 / known as f64;
-    let verdict = lock(&node.limiter(subject).owned).rule(ask, share, now);
+    let verdict = lock(&node.limiter(subject).owned).decide(ask, share, now);
     match (subject, verdict) {
-        (Subject::Endpoint(endpoint), Verdict::Over { wait }) => {
+        (Subject::Endpoint(endpoint), Decision::OverLimit { wait }) => {
             let wait = lock(&node.queues).join(endpoint, ask.limit.units_per_second, wait, now);
-            Verdict::Over { wait }
+            Decision::OverLimit { wait }
         }
         _ => verdict,
     }
 }
 
 /// Queries an owner over the network; `None` without a reply in time.
-async fn query(node: &Node, subject: Subject, ask: Ask, owner: IpAddr) -> Option<Verdict> {
+async fn query(node: &Node, subject: Subject, ask: Charge, owner: IpAddr) -> Option<Decision> {
     let cost = ask.cost;
     let known = match subject {
         Subject::Organisation(_) => None,
-        Subject::Endpoint(endpoint) => node.limits().word(endpoint),
+        Subject::Endpoint(endpoint) => node.limits().latest(endpoint),
     };
     let (number, receiver) = node.limiter(subject).register(subject, cost, node.now());
     peers::try_send(node, &Message::QuotaRequest { number, subject, cost, word: known }, owner);
@@ -306,12 +306,14 @@
 /// Replies to another node's query.
 pub fn reply(node: &Node, number: u32, subject: Subject, cost: u32) -> Message {
     let (limit, default) = match subject {
-        Subject::Organisation(organisation) => (configured(node, organisation), Verdict::Unsure),
+        Subject::Organisation(organisation) => {
+            (configured(node, organisation), Decision::Undecided)
+        }
         // The endpoint no longer names a limit; the querying node gets that update separately.
-        Subject::Endpoint(endpoint) => (limit::endpoint_limit(node, endpoint), Verdict::Granted),
+        Subject::Endpoint(endpoint) => (limit::endpoint_limit(node, endpoint), Decision::Granted),
     };
     let verdict = limit.map_or(default, |limit| {
-        let ask = Ask { subject: subject.tag(), limit, cost, draw: rand::random() };
+        let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
         decide_as_owner(node, subject, ask)
     });
     Message::QuotaReply { number, subject, verdict }
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -8,7 +8,7 @@
 use crate::event;
 use crate::node::{Node, lock};
 use crosslane_coordination::ruling::{Ruling, Verdict};
-use crosslane_coordination::suspicion::Word;
+use crosslane_coordination::suspicion::Update;
 use crosslane_platform::store::{Client, Error, Page, Record};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_transport::clock;
@@ -117,10 +117,10 @@
             continue;
         };
         let mut quarantine = node.quarantine();
-        let new = quarantine.take(request, ruling, now, unix);
-        quarantine.saved(request, ruling);
+        let new = quarantine.merge_ruling(request, ruling, now, unix);
+        quarantine.mark_saved(request, ruling);
         if new {
-            quarantine.tell(request, Word::Ruled(ruling));
+            quarantine.queue_update(request, Update::Ruled(ruling));
             drop(quarantine);
             info!(fingerprint:% = request, verdict:% = ruling.verdict, source = "store"; "{}", event::RULED);
             node.suspicions_changed.notify_one();
@@ -136,12 +136,12 @@
         // A new ruling is written at once, since all nodes may be killed at the next moment.
         let _ = timeout(CHECK_INTERVAL, node.rulings_changed.notified()).await;
         let reader = lock(&node.members).is_store_reader(node.now());
-        let unsaved = node.quarantine().unsaved(node.now(), reader.then_some(ORPHANED_MS));
+        let unsaved = node.quarantine().rulings_to_save(node.now(), reader.then_some(ORPHANED_MS));
         for (request, ruling) in unsaved {
             match (Entry { request, ruling }).write(&mut client).await {
                 Ok(()) => {
                     failures = 0;
-                    node.quarantine().saved(request, ruling);
+                    node.quarantine().mark_saved(request, ruling);
                 }
                 Err(error) => {
                     info!(fingerprint:% = request, why:% = error; "{}", event::UNSAVED);
@@ -158,7 +158,7 @@
     let page = client.newest(TOPIC).await?;
     let unix = clock::unix();
     let entries = page.records.iter().filter_map(|record| Entry::try_from(record).ok());
-    Ok(entries.filter(|entry| !entry.ruling.over(unix)).collect())
+    Ok(entries.filter(|entry| !entry.ruling.is_expired(unix)).collect())
 }
 
 /// Lifts the ruling on a request.
