--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -214,7 +214,10 @@
 
 /// Part of a limit that a backup owner may grant.
 pub fn backup_limit(limit: Limit) -> Limit {
-    Limit { units_per_second: limit.units_per_second * BACKUP_SHARE, burst: limit.burst * BACKUP_SHARE }
+    Limit {
+        units_per_second: limit.units_per_second * BACKUP_SHARE,
+        burst: limit.burst * BACKUP_SHARE,
+    }
 }
 
 /// Virtual queues of the requests that were refused under each limit and are to be retried.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -188,9 +188,7 @@
     log_rejection(call, failure);
     match request_status(node, call) {
         Status::ShutOut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
-        Status::Clear | Status::Suspect | Status::OnTrial => {
-            stream::retry_later(failure.into())
-        }
+        Status::Clear | Status::Suspect | Status::OnTrial => stream::retry_later(failure.into()),
     }
 }
 
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -116,13 +116,13 @@
 #[derive(Debug)]
 pub struct Grant {
     node: Arc<Node>,
-    charge: Option<Charge>,
+    charge: Option<Debit>,
     mark_sent: AtomicBool,
 }
 
 /// Cost taken from a limit, and who granted it.
 #[derive(Clone, Copy, Debug)]
-struct Charge {
+struct Debit {
     subject: Subject,
     cost: u32,
     source: Source,
@@ -134,7 +134,7 @@
         Self::new(node, None)
     }
 
-    fn new(node: &Arc<Node>, charge: Option<Charge>) -> Self {
+    fn new(node: &Arc<Node>, charge: Option<Debit>) -> Self {
         Self { node: node.clone(), charge, mark_sent: AtomicBool::new(false) }
     }
 
@@ -152,7 +152,7 @@
 impl Drop for Grant {
     fn drop(&mut self) {
         let unused = !self.mark_sent.load(Ordering::Relaxed);
-        let Some(Charge { subject, cost, source }) = self.charge.filter(|_| unused) else {
+        let Some(Debit { subject, cost, source }) = self.charge.filter(|_| unused) else {
             return;
         };
         let limiter = self.node.limiter(subject);
@@ -210,7 +210,7 @@
     if let Decision::OverLimit { wait: wait_ms } = verdict {
         return Err(Exceeded { wait_ms, source });
     }
-    Ok(Grant::new(node, Some(Charge { subject, cost, source })))
+    Ok(Grant::new(node, Some(Debit { subject, cost, source })))
 }
 
 /// Verdict of the owner, of the next node in its place, or of this node alone.
