--- a/crates/gateway/src/cache.rs
+++ b/crates/gateway/src/cache.rs
@@ -74,12 +74,12 @@
     // A list holds up an engine's work; one that names a limit is in need.
     engines.retain(|(_, engine)| node.limits().rate(engine.tag()).is_none());
     let calls = engines.iter().map(|(_, engine)| {
-        node.control.call(engine.address, engine::list_parts(engine), LIST_ANSWER)
+        node.control.call(engine.address, engine::list_cached_segments(engine), LIST_ANSWER)
     });
     let answers = join_all(calls).await;
     let listed = engines.into_iter().zip(answers).filter_map(|((key, engine), answer)| {
         let answer = answer.inspect_err(|error| debug!("parts at {}: {error}", engine.id)).ok()?;
-        let parts = engine::parts(&answer.body)?;
+        let parts = engine::parse_cached_segments(&answer.body)?;
         Some(Engine { key, stage: engine.stage, parts })
     });
     listed.collect()
--- a/crates/gateway/src/duty.rs
+++ b/crates/gateway/src/duty.rs
@@ -4,7 +4,7 @@
 use crate::node::{Node, lock};
 use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
 use crosslane_coordination::stages::{Change, Plan};
-use crosslane_platform::engine::{self, Order};
+use crosslane_platform::engine::{self, OrderOutcome};
 use crosslane_platform::store::{Client, Error};
 use crosslane_state::endpoint::{Stage, Tag};
 use log::{debug, info, warn};
@@ -35,8 +35,8 @@
 /// Gives orders when it is this node's turn, for good.
 pub async fn run(node: Arc<Node>) {
     sleep(SETTLE).await;
-    let mut client = Client::new(node.settings.store);
-    let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease);
+    let mut client = Client::new(node.settings.store_address);
+    let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease_ms);
     let mut plans = HashMap::new();
     loop {
         let steady = node.stopping.borrow().is_none();
@@ -120,7 +120,7 @@
     lease: &mut Lease,
     plans: &mut Plans,
 ) -> Result<Option<(u64, Vec<(String, Change)>)>, Error> {
-    let page = client.newest(TOPIC).await?;
+    let page = client.latest(TOPIC).await?;
     let record = page.records.iter().rfind(|it| it.key == KEY).and_then(|it| it.value.as_deref());
     let turn = record.map(read_turn);
     if let Some(turn) = &turn {
@@ -161,17 +161,17 @@
     let Some(endpoint) = node.pool().get(change.key).cloned() else {
         return;
     };
-    let request = engine::order(&endpoint, change.stage, &node.settings.vm, fence);
+    let request = engine::order_stage_change(&endpoint, change.stage, &node.settings.vm, fence);
     let answer = node.control.call(endpoint.address, request, ANSWER).await;
     let id = endpoint.id;
     let stage = format!("{:?}", change.stage);
-    let outcome = answer.map(|it| engine::ordered(it.status));
-    if matches!(outcome, Ok(Order::Taken)) {
+    let outcome = answer.map(|it| engine::parse_order_outcome(it.status));
+    if matches!(outcome, Ok(OrderOutcome::Taken)) {
         node.pool().ordered(change.key, change.stage, node.now());
         node.changed.notify_one();
     }
     match outcome {
-        Ok(Order::Fenced) => info!(id, stage, fence, outcome = "fenced"; "{}", event::ORDER),
+        Ok(OrderOutcome::Fenced) => info!(id, stage, fence, outcome = "fenced"; "{}", event::ORDER),
         Ok(outcome) => info!(id, stage, fence, outcome:? = outcome; "{}", event::ORDER),
         Err(error) => info!(id, stage, fence, outcome:% = error; "{}", event::ORDER),
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::answer::Head;
-use crosslane_platform::ask::{Ask, Purpose};
+use crosslane_platform::ask::{Metadata, Purpose};
 use crosslane_state::endpoint::{Endpoint, Key};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What its headers say.
-    pub ask: Arc<Ask>,
+    pub ask: Arc<Metadata>,
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -285,13 +285,13 @@
             return Err(failure);
         }
     };
-    let head = Head::read(&parts, &call.ask.id);
+    let head = Head::parse(&parts, &call.ask.id);
     if let Some(load) = head.load {
         node.pool().load(seat.key, load, node.now());
     }
     // Whoever says that another one is meant names a limit of its own.
-    if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
-        limit::note(&node, &endpoint, &head.limit, sent);
+    if head.id_matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
+        limit::note(&node, &endpoint, &head.rate_limit, sent);
     }
     let failure = judge(&head, parts.status, purpose);
     if let Some((failure, outcome)) = failure {
@@ -331,7 +331,7 @@
     };
     let (load, offset) = (seat.load, node.mirror().ends().endpoints);
     let left_ms = call.left().as_millis() as u64;
-    let prompt = call.ask.part.as_deref().unwrap_or_default();
+    let prompt = call.ask.last_segment_id.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
 }
 
@@ -382,11 +382,11 @@
 
 /// Why an answer can't be used, if so, and what that says of the endpoint.
 fn judge(head: &Head, status: StatusCode, purpose: &Purpose<'_>) -> Option<(Failure, Outcome)> {
-    let sealed = head.sealed || matches!(purpose, Purpose::Prefill);
-    if !head.matches || !sealed || status.is_informational() {
+    let sealed = head.has_required_seal || matches!(purpose, Purpose::Prefill);
+    if !head.id_matches || !sealed || status.is_informational() {
         return Some((Failure::Broken, Outcome::Failed));
     }
-    head.refused.then(|| (Failure::Refused, refused(status, purpose)))
+    head.not_executed.then(|| (Failure::Refused, refused(status, purpose)))
 }
 
 /// What a refusal says of the endpoint.
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -127,7 +127,7 @@
         let known = node.mirror().end(topic);
         let from = (known > 0 && !self.gone).then_some(known);
         let page = match from {
-            None => client.newest(topic.name()).await?,
+            None => client.latest(topic.name()).await?,
             Some(from) => client.read(topic.name(), from, WAIT).await?,
         };
         node.store_answered(self.failures > 0);
@@ -149,7 +149,7 @@
 
 /// Follows one topic for good.
 pub async fn follow(node: Arc<Node>, topic: Topic) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut follower = Follower::default();
     loop {
         let Some(need) = follower.need(&node, topic) else {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use crosslane_coordination::identity;
 use crosslane_platform::answer;
-use crosslane_platform::ask::Ask;
+use crosslane_platform::ask::Metadata;
 use crosslane_state::hash;
 use crosslane_state::organisation::Organisation;
 use crosslane_state::route::{Kind, Limits, Route, Table};
@@ -103,7 +103,7 @@
 
 async fn handle(node: Arc<Node>, request: Request<Incoming>, caller: IpAddr) -> Response<Reply> {
     let arrived = Instant::now();
-    let asked = Ask::try_from(request.headers());
+    let asked = Metadata::try_from(request.headers());
     let id = asked.as_ref().ok().map(|it| it.id.clone());
     let mut story = Story::new(node.clone(), id.clone(), caller, arrived);
     let answered = match asked {
@@ -119,10 +119,10 @@
         }
     };
     if node.stopping.borrow().is_some() {
-        answer::close(response.headers_mut());
+        answer::set_connection_close(response.headers_mut());
     }
     story.status = response.status();
-    story.left = answer::length(response.headers());
+    story.left = answer::content_length(response.headers());
     if response.body().is_end_stream() && story.ending == CALLER_LEFT {
         story.ending = ANSWERED;
     }
@@ -132,7 +132,7 @@
 async fn answer_to(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    mut ask: Ask,
+    mut ask: Metadata,
     story: &mut Story,
 ) -> Result<Response<Reply>, Refusal> {
     let Some(mut table) = node.table() else {
@@ -150,11 +150,11 @@
     let (route, organisation) = allowed(&table, &ask, head.uri.path())?;
     story.route.clone_from(&route.name);
     if table.organisations.is_some() {
-        ask.identify(organisation.map(|it| it.name.as_str()));
+        ask.set_organisation(organisation.map(|it| it.name.as_str()));
         story.organisation.clone_from(&ask.organisation);
     }
     let held = Duration::from_millis(route.timeout_ms);
-    let deadline = node.clock.deadline(ask.patience.map_or(held, |it| it.min(held)));
+    let deadline = node.clock.deadline(ask.timeout.map_or(held, |it| it.min(held)));
     let body = read(body, table.limits, deadline.left()).await?;
     let service = share(route, &ask.id);
     stopping::check(node, route, service, deadline.left())?;
@@ -164,7 +164,7 @@
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
     let method = head.method;
-    let grant = quota::take(node, organisation, ask.tokens(), &ask.id).await?;
+    let grant = quota::take(node, organisation, ask.total_tokens(), &ask.id).await?;
     let (ask, print, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
     let call = Call { ask, method, uri, body, arrived, deadline, print, grant };
     quarantine::check(node, &call).map_err(|it| quarantine::refusal(node, &call, it))?;
@@ -181,7 +181,7 @@
 /// The route that a request takes, and whose it is.
 fn allowed<'a>(
     table: &'a Table,
-    ask: &Ask,
+    ask: &Metadata,
     path: &str,
 ) -> Result<(&'a Route, Option<&'a Organisation>), Reason> {
     let route = table.find(&ask.host, path).ok_or(Reason::NoRoute)?;
--- a/crates/gateway/src/hold.rs
+++ b/crates/gateway/src/hold.rs
@@ -38,7 +38,7 @@
 impl Drop for Hold {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            release(&self.node, &self.engine, engine::drop_hold(&self.engine, &id));
+            release(&self.node, &self.engine, engine::release_reservation(&self.engine, &id));
         }
     }
 }
@@ -67,7 +67,7 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            release(&self.node, &self.engine, engine::drop_handle(&self.engine, &id));
+            release(&self.node, &self.engine, engine::release_kv_handle(&self.engine, &id));
         }
     }
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -213,7 +213,7 @@
             me: settings.ip,
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
-            window: settings.retry_window,
+            window: settings.retry_window_ms,
             members: HashMap::new(),
             found: false,
             lacking: None,
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -28,8 +28,8 @@
     /// Its name in the store.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Operators => store::OPERATORS,
-            Self::Endpoints => store::ENDPOINTS,
+            Self::Operators => store::OPERATOR_TOPIC,
+            Self::Endpoints => store::ENDPOINT_TOPIC,
         }
     }
 }
@@ -275,7 +275,7 @@
     fn take_configurations(&mut self, page: Page) -> bool {
         self.operators = self.operators.max(page.end);
         let mut changed = false;
-        for record in page.records.into_iter().filter(|it| it.key == store::CONFIGURATION) {
+        for record in page.records.into_iter().filter(|it| it.key == store::CONFIGURATION_KEY) {
             if let Some(text) = record.value {
                 changed |= self.configuration.put(record.offset + 1, text);
             }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -155,7 +155,7 @@
         let budget = Budget {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
-            window: settings.retry_window,
+            window: settings.retry_window_ms,
         };
         Ok(Self {
             clock: Clock::start(),
@@ -187,7 +187,7 @@
             store_read: Mutex::default(),
             store_lost: AtomicBool::new(false),
             woken: Mutex::default(),
-            pace: Mutex::new(Pace::new(settings.link / LINK_SHARE, BURST)),
+            pace: Mutex::new(Pace::new(settings.link_bytes_per_second / LINK_SHARE, BURST)),
             patience: Mutex::default(),
             durations: Mutex::default(),
             quarantine: Mutex::new(Quarantine::new(Tag::of(&settings.vm))),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -166,7 +166,7 @@
 
 /// Leaves this node's address in the store and reads the others'.
 async fn enlist(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let value = node.settings.ip.to_string();
     let mut appended = false;
     let mut failures = 0_u32;
@@ -176,7 +176,7 @@
                 client.append(NODES, &node.settings.vm, value.as_bytes(), None).await?;
                 appended = true;
             }
-            client.newest(NODES).await
+            client.latest(NODES).await
         };
         match result.await {
             Ok(page) => {
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -174,7 +174,7 @@
     Meter::time(&node.meter.first, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.note(if error { Outcome::Error } else { Outcome::Good });
-    let short = answer.head.length.is_some_and(|it| it <= WHOLE_BYTES);
+    let short = answer.head.content_length.is_some_and(|it| it <= WHOLE_BYTES);
     if route.kind != Kind::Safe || !short {
         return Ok(Attempt::Final(relay(node, answer, call)));
     }
@@ -186,14 +186,14 @@
 fn whole(parts: Parts, body: Bytes) -> Response<Reply> {
     let mut response = Response::new(http::full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = answer::headers(&parts.headers);
+    *response.headers_mut() = answer::forwarded_headers(&parts.headers);
     response
 }
 
 /// Passes an answer on as it comes; it is broken off if the time runs out.
 pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<Reply> {
     let status = answer.parts.status;
-    let headers = answer::headers(&answer.parts.headers);
+    let headers = answer::forwarded_headers(&answer.parts.headers);
     let begun = Some((node.clone(), answer, call.clone()));
     let frames = futures::stream::unfold(begun, move |state| async move {
         let (node, mut answer, call) = state?;
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -117,9 +117,9 @@
     pub fn answer(self, id: Option<&str>) -> Response<Reply> {
         let mut response = Response::new(http::full(self.reason.name()));
         *response.status_mut() = self.reason.status();
-        *response.headers_mut() = answer::own_headers(id, self.retry_after);
+        *response.headers_mut() = answer::local_reply_headers(id, self.retry_after);
         if response.status() == StatusCode::UNAUTHORIZED {
-            answer::want_key(response.headers_mut());
+            answer::set_key_challenge(response.headers_mut());
         }
         response
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -15,7 +15,7 @@
 use crosslane_coordination::admission::FULL;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::ask::Purpose;
-use crosslane_platform::engine::{self, Move};
+use crosslane_platform::engine::{self, MoveOutcome};
 use crosslane_state::endpoint::Endpoint;
 use crosslane_state::route::Kind;
 use crosslane_transport::http::BodyError;
@@ -181,17 +181,17 @@
         let control = self.run.node.control.clone();
         let answer = control.call(source.address, request, MOVE_ANSWER).await;
         let outcome = match &answer {
-            Ok(answer) => engine::moved(answer.status, &answer.body),
-            Err(_) => Move::Refused,
+            Ok(answer) => engine::parse_move_outcome(answer.status, &answer.body),
+            Err(_) => MoveOutcome::Refused,
         };
         self.told_move(&source, &target, &outcome);
         // Where it was stopped its memory is kept until it goes on: one that the other engine refuses is not lost.
         let mut stopped = Seat::take(&self.run.node, (key, 0.0), self.run.tokens());
         stopped.excuse();
         let (handle, seats) = match outcome {
-            Move::Copied { handle } => (handle, vec![seat, stopped]),
-            Move::Stopped { handle } => (handle, vec![stopped]),
-            Move::Ended | Move::Refused => return None,
+            MoveOutcome::Copied { handle } => (handle, vec![seat, stopped]),
+            MoveOutcome::Stopped { handle } => (handle, vec![stopped]),
+            MoveOutcome::Ended | MoveOutcome::Refused => return None,
         };
         self.move_at = None;
         let rest = self.drain().await;
@@ -199,7 +199,7 @@
         rest
     }
 
-    fn told_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
+    fn told_move(&self, from: &Endpoint, to: &Endpoint, outcome: &MoveOutcome) {
         let (request, from, to) = (self.run.call.ask.id.as_str(), from.id.as_str(), to.id.as_str());
         info!(request, from, to, outcome:? = outcome; "{}", event::MOVE);
     }
@@ -240,7 +240,7 @@
 
     /// The last event passed on, here or before the caller took the stream up again.
     fn last_event(&self) -> Option<u64> {
-        self.events.last_id().or(self.run.call.ask.last_event)
+        self.events.last_id().or(self.run.call.ask.last_event_id)
     }
 
     /// Continues the stream at other engines, as long as attempts are left; false if that may not or could not be
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -41,14 +41,14 @@
 impl Run {
     /// Tokens of KV cache that the request is expected to need.
     pub fn tokens(&self) -> u32 {
-        self.call.ask.prompt + self.output()
+        self.call.ask.prompt_tokens + self.output()
     }
 
     /// Tokens that the request is expected to generate.
     fn output(&self) -> u32 {
         let ask = &self.call.ask;
-        let usual = (f64::from(ask.most) * USUAL_SHARE) as u32;
-        ask.hint.unwrap_or(usual).min(ask.most)
+        let usual = (f64::from(ask.max_output_tokens) * USUAL_SHARE) as u32;
+        ask.expected_output_tokens.unwrap_or(usual).min(ask.max_output_tokens)
     }
 
     /// Reserves memory at a decoding engine, if need be not at one of them.
@@ -111,10 +111,10 @@
         let mut seat = Seat::take(&self.node, place, self.tokens());
         // Before memory is reserved, which would lie idle without it.
         seat.admit(&self.call.ask.id).await.ok()?;
-        let request = engine::take_hold(&engine, tokens, self.engine.max_hold_ms);
+        let request = engine::reserve(&engine, tokens, self.engine.max_hold_ms);
         let answer = self.node.control.call(engine.address, request, HOLD_ANSWER).await;
         let id = match &answer {
-            Ok(answer) if answer.status.is_success() => engine::hold(&answer.body),
+            Ok(answer) if answer.status.is_success() => engine::parse_reservation(&answer.body),
             Ok(answer) => {
                 debug!("reservation at {}: {}", engine.id, answer.status);
                 let full = answer.status == StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -69,7 +69,7 @@
 
 /// Reads the store's rulings at the start, and follows them for good while this node is a reader.
 pub async fn follow(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut known = None;
     let mut failures = 0_u32;
     let mut asked = false;
@@ -98,7 +98,7 @@
 
 async fn read(client: &mut Client, known: Option<u64>) -> Result<Page, Error> {
     match known {
-        None => client.newest(TOPIC).await,
+        None => client.latest(TOPIC).await,
         Some(from) => client.read(TOPIC, from, WAIT).await,
     }
 }
@@ -126,7 +126,7 @@
 
 /// Writes rulings to the store that it lacks, for good.
 pub async fn save(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut failures = 0_u32;
     loop {
         // What was ruled here is written at once: all nodes may be killed at the next moment.
@@ -151,7 +151,7 @@
 
 /// All rulings that the store holds and that are not over.
 pub async fn list(client: &mut Client) -> Result<Vec<Entry>, Error> {
-    let page = client.newest(TOPIC).await?;
+    let page = client.latest(TOPIC).await?;
     let unix = clock::unix();
     let entries = page.records.iter().filter_map(|it| Entry::try_from(it).ok());
     Ok(entries.filter(|it| !it.ruling.over(unix)).collect())
--- a/crates/gateway/src/site.rs
+++ b/crates/gateway/src/site.rs
@@ -66,10 +66,10 @@
     metrics_port: u16,
 ) -> Result<(), Error> {
     let settings = &node.settings;
-    let callers = TcpListener::bind(settings.callers).await?;
-    let ready = TcpListener::bind(settings.ready).await?;
+    let callers = TcpListener::bind(settings.caller_address).await?;
+    let ready = TcpListener::bind(settings.readiness_address).await?;
     let metrics = TcpListener::bind(SocketAddr::new(settings.ip, metrics_port)).await?;
-    info!(vm = settings.vm, domain = settings.domain, callers:% = settings.callers; "{}", event::START);
+    info!(vm = settings.vm, domain = settings.domain, callers:% = settings.caller_address; "{}", event::START);
     tokio::spawn(follower::follow(node.clone(), Topic::Operators));
     tokio::spawn(follower::follow(node.clone(), Topic::Endpoints));
     tokio::spawn(front::run(node.clone(), callers, connections.clone()));
--- a/crates/gateway/src/stopping.rs
+++ b/crates/gateway/src/stopping.rs
@@ -50,7 +50,7 @@
     };
     let late = Late {
         since: Duration::from_millis(node.now().since(at)),
-        grace: Duration::from_millis(node.settings.grace),
+        grace: Duration::from_millis(node.settings.grace_ms),
         left,
         lasts: node.longest(service).map_or(left, |it| it.min(left)),
         streams: matches!(route.kind, Kind::Stream { .. }),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -89,8 +89,8 @@
         let caller = Caller {
             target: route.target_latency_ms,
             silence: route.caller_idle_timeout_ms(),
-            spent: call.ask.patience.map_or(0, |it| node.spent(&route.name, it)),
-            resumes: call.ask.last_event.is_some(),
+            spent: call.ask.timeout.map_or(0, |it| node.spent(&route.name, it)),
+            resumes: call.ask.last_event_id.is_some(),
         };
         let standing = Standing::from(&caller);
         let (sent, read_at, spare) = (0, None, None);
@@ -115,7 +115,7 @@
             let until = self.call.deadline.instant().min(Instant::now() + patience);
             hold = self.reserve(until, None).await?;
         }
-        let answer = self.decode(&mut hold, handle.as_mut(), self.call.ask.last_event).await;
+        let answer = self.decode(&mut hold, handle.as_mut(), self.call.ask.last_event_id).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => self.again(failure).await?,
@@ -149,7 +149,7 @@
     /// answer was mostly refused before its prompt was read, or only seemed to come back: 537 such questions
     /// in a day's logs of eleven nodes, to 47 engines each, found nothing.
     async fn keepers(&self) -> Keepers {
-        match &self.call.ask.part {
+        match &self.call.ask.last_segment_id {
             Some(part) if self.standing == Standing::Resumed => {
                 cache::find(&self.node, &self.service, &self.call.ask.id, part).await
             }
@@ -229,13 +229,13 @@
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let began = Instant::now();
-        let seat = Seat::take(&self.node, place, self.call.ask.prompt);
+        let seat = Seat::take(&self.node, place, self.call.ask.prompt_tokens);
         let until = self.call.deadline.instant().min(began + PREFILL_LIMIT);
         let answer = exchange::send(&self.call, seat, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
         answer.note(Outcome::Good);
         let (_, body) = answer.read(&self.call, PREFILL_BYTES, until).await?;
-        let Some(id) = engine::handle(&body) else {
+        let Some(id) = engine::parse_kv_handle(&body) else {
             return Ok(None);
         };
         Meter::time(&self.node.meter.prefill, began.elapsed());
@@ -327,7 +327,7 @@
                 break;
             }
             self.node.meter.retried(failure.into());
-            match self.elsewhere(self.call.ask.last_event).await {
+            match self.elsewhere(self.call.ask.last_event_id).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
                 Err(Some(next)) if next.barred() && failure.may_have_run() => break,
@@ -378,7 +378,7 @@
 
     fn relay(self, answer: Answer) -> Response<Reply> {
         let status = answer.parts.status;
-        let headers = answer::headers(&answer.parts.headers);
+        let headers = answer::forwarded_headers(&answer.parts.headers);
         let mut response = Response::new(Relay::new(self, answer).body());
         *response.status_mut() = status;
         *response.headers_mut() = headers;
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use crosslane_gateway::history::Download;
 use crosslane_gateway::mirror::{Change, List, Mirror, Part, Topic};
-use crosslane_platform::store::{CONFIGURATION, Page, Record};
+use crosslane_platform::store::{CONFIGURATION_KEY, Page, Record};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -189,7 +189,7 @@
 }
 
 fn publish(mirror: &mut Mirror, offset: u64, text: Bytes) {
-    let key = CONFIGURATION.into();
+    let key = CONFIGURATION_KEY.into();
     let record = Record { offset, key, value: Some(text) };
     mirror.take(Topic::Operators, Page { records: vec![record], end: offset + 1 }, Some(offset));
 }
@@ -304,7 +304,7 @@
     let mut node = Mirror::default();
     publish(&mut node, 0, text(0, 100));
     catch_up(&mut node, &mut ahead, &mut Download::default());
-    let record = Record { offset: 0, key: CONFIGURATION.into(), value: Some(text(0, 100)) };
+    let record = Record { offset: 0, key: CONFIGURATION_KEY.into(), value: Some(text(0, 100)) };
     let change = node.take(Topic::Operators, Page { records: vec![record], end: 1 }, None);
     assert!(!change.configuration);
     assert_eq!(node.configuration(), ahead.configuration());
