--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -13,8 +13,8 @@
 use crate::refusal::Reason;
 use bytes::Bytes;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::answer::Head;
-use crosslane_platform::ask::{Metadata, Purpose};
+use crosslane_platform::request::{Metadata, Purpose};
+use crosslane_platform::response::Head;
 use crosslane_state::endpoint::{Endpoint, Key};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -395,8 +395,8 @@
         // Another incarnation answers at the address, or the engine has changed its stage.
         _ if status == StatusCode::MISDIRECTED_REQUEST => Outcome::Down,
         // It granted the memory: it is about to change its stage, or the KV cache to fetch is gone.
-        Purpose::Decode { hold: Some(_), source: None, .. } => Outcome::Down,
-        Purpose::Decode { hold: Some(_), source: Some(_), .. } => Outcome::Failed,
+        Purpose::Decode { reservation: Some(_), source: None, .. } => Outcome::Down,
+        Purpose::Decode { reservation: Some(_), source: Some(_), .. } => Outcome::Failed,
         Purpose::Run | Purpose::Prefill | Purpose::Decode { .. } => Outcome::Refused,
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -7,8 +7,8 @@
 use crate::{plain, quarantine, quota, stopping, stream};
 use bytes::Bytes;
 use crosslane_coordination::identity;
-use crosslane_platform::answer;
-use crosslane_platform::ask::Metadata;
+use crosslane_platform::request::Metadata;
+use crosslane_platform::response;
 use crosslane_state::hash;
 use crosslane_state::organisation::Organisation;
 use crosslane_state::route::{Kind, Limits, Route, Table};
@@ -119,10 +119,10 @@
         }
     };
     if node.stopping.borrow().is_some() {
-        answer::set_connection_close(response.headers_mut());
+        response::set_connection_close(response.headers_mut());
     }
     story.status = response.status();
-    story.left = answer::content_length(response.headers());
+    story.left = response::content_length(response.headers());
     if response.body().is_end_stream() && story.ending == CALLER_LEFT {
         story.ending = ANSWERED;
     }
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -12,7 +12,7 @@
 use crate::quota::{self, Grant, Over};
 use crate::refusal::{Reason, Refusal};
 use crosslane_coordination::limits::{self, Change, Word};
-use crosslane_platform::answer::LimitError;
+use crosslane_platform::response::LimitError;
 use crosslane_state::endpoint::{Endpoint, Key, Stage, Tag};
 use crosslane_state::organisation::Limit;
 use crosslane_state::rate::Rate;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use crosslane_coordination::choice::Query;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::answer;
-use crosslane_platform::ask::Purpose;
+use crosslane_platform::request::Purpose;
+use crosslane_platform::response;
 use crosslane_state::endpoint::{Key, Stage};
 use crosslane_state::route::{Kind, Route};
 use crosslane_transport::http;
@@ -186,14 +186,14 @@
 fn whole(parts: Parts, body: Bytes) -> Response<Reply> {
     let mut response = Response::new(http::full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = answer::forwarded_headers(&parts.headers);
+    *response.headers_mut() = response::forwarded_headers(&parts.headers);
     response
 }
 
 /// Passes an answer on as it comes; it is broken off if the time runs out.
 pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<Reply> {
     let status = answer.parts.status;
-    let headers = answer::forwarded_headers(&answer.parts.headers);
+    let headers = response::forwarded_headers(&answer.parts.headers);
     let begun = Some((node.clone(), answer, call.clone()));
     let frames = futures::stream::unfold(begun, move |state| async move {
         let (node, mut answer, call) = state?;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -14,7 +14,7 @@
 use crosslane_coordination::ruling::{SHUT, Verdict};
 use crosslane_coordination::suspect::{SHUT_AT, TOGETHER};
 use crosslane_coordination::suspicion::{Standing, Strike, Word};
-use crosslane_platform::ask::Purpose;
+use crosslane_platform::request::Purpose;
 use crosslane_state::endpoint::{Endpoint, Key, Tag};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Reply;
 use crosslane_coordination::identity::Denial;
-use crosslane_platform::answer;
+use crosslane_platform::response;
 use crosslane_transport::http;
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -117,9 +117,9 @@
     pub fn answer(self, id: Option<&str>) -> Response<Reply> {
         let mut response = Response::new(http::full(self.reason.name()));
         *response.status_mut() = self.reason.status();
-        *response.headers_mut() = answer::local_reply_headers(id, self.retry_after);
+        *response.headers_mut() = response::local_reply_headers(id, self.retry_after);
         if response.status() == StatusCode::UNAUTHORIZED {
-            answer::set_key_challenge(response.headers_mut());
+            response::set_key_challenge(response.headers_mut());
         }
         response
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -14,8 +14,8 @@
 use bytes::{Bytes, BytesMut};
 use crosslane_coordination::admission::FULL;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::ask::Purpose;
 use crosslane_platform::engine::{self, MoveOutcome};
+use crosslane_platform::request::Purpose;
 use crosslane_state::endpoint::Endpoint;
 use crosslane_state::route::Kind;
 use crosslane_transport::http::BodyError;
@@ -221,7 +221,7 @@
     async fn go_on(&mut self, source: &Endpoint, handle: &str, seats: Vec<Seat>) {
         let last_event = self.last_event();
         let source = Some((source.address, handle));
-        let purpose = Purpose::Decode { hold: None, source, last_event };
+        let purpose = Purpose::Decode { reservation: None, source, last_event };
         let until = self.run.call.deadline.instant();
         self.answer = None;
         for seat in seats {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -19,8 +19,8 @@
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
 use crosslane_coordination::reader::{Kept, Reader};
-use crosslane_platform::ask::Purpose;
-use crosslane_platform::{answer, engine};
+use crosslane_platform::request::Purpose;
+use crosslane_platform::{engine, response};
 use crosslane_state::endpoint::{Key, Stage};
 use crosslane_state::route::{Engine, Kind, Route};
 use hyper::Response;
@@ -253,7 +253,7 @@
             return Err(Failure::Unsent);
         };
         let source = handle.as_deref().and_then(Handle::source);
-        let purpose = Purpose::Decode { hold: hold.id.as_deref(), source, last_event };
+        let purpose = Purpose::Decode { reservation: hold.id.as_deref(), source, last_event };
         let (at, until) = (seat.key, self.call.deadline.instant());
         let sending = exchange::send(&self.call, seat, &purpose, until);
         let answer = match self.unless_silent(at, self.sent + 1, sending).await {
@@ -378,7 +378,7 @@
 
     fn relay(self, answer: Answer) -> Response<Reply> {
         let status = answer.parts.status;
-        let headers = answer::forwarded_headers(&answer.parts.headers);
+        let headers = response::forwarded_headers(&answer.parts.headers);
         let mut response = Response::new(Relay::new(self, answer).body());
         *response.status_mut() = status;
         *response.headers_mut() = headers;
