--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -13,8 +13,8 @@
 use crate::refusal::Reason;
 use bytes::Bytes;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::answer::Head;
-use crosslane_platform::ask::{Ask, Purpose};
+use crosslane_platform::request::{Metadata, Purpose};
+use crosslane_platform::response::Head;
 use crosslane_state::endpoint::{Endpoint, Key};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Parsed headers.
-    pub metadata: Arc<Ask>,
+    pub metadata: Arc<Metadata>,
     /// HTTP method.
     pub method: Method,
     /// Path and query.
@@ -286,13 +286,13 @@
             return Err(failure);
         }
     };
-    let head = Head::read(&parts, &call.metadata.id);
+    let head = Head::parse(&parts, &call.metadata.id);
     if let Some(load) = head.load {
         node.pool().record_load(slot.key, load, node.now());
     }
     // A 421 comes from another incarnation at the same address, which names its own rate limit.
-    if head.matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
-        limit::record(&node, &endpoint, &head.limit, sent_at);
+    if head.id_matches && parts.status != StatusCode::MISDIRECTED_REQUEST {
+        limit::record(&node, &endpoint, &head.rate_limit, sent_at);
     }
     let rejection = reject(&head, parts.status, purpose);
     if let Some((failure, outcome)) = rejection {
@@ -338,7 +338,7 @@
     };
     let (load, offset) = (slot.load, node.mirror().offsets().endpoints);
     let left_ms = call.remaining().as_millis() as u64;
-    let prompt = call.metadata.part.as_deref().unwrap_or_default();
+    let prompt = call.metadata.last_segment_id.as_deref().unwrap_or_default();
     info!(request, prompt, to, purpose, load, offset, left_ms; "{}", event::PLACE);
 }
 
@@ -389,11 +389,11 @@
 
 /// Checks a response head; returns the failure and its outcome for the endpoint's health if it can't be used.
 fn reject(head: &Head, status: StatusCode, purpose: &Purpose<'_>) -> Option<(Failure, Outcome)> {
-    let sealed = head.sealed || matches!(purpose, Purpose::Prefill);
-    if !head.matches || !sealed || status.is_informational() {
+    let sealed = head.has_required_seal || matches!(purpose, Purpose::Prefill);
+    if !head.id_matches || !sealed || status.is_informational() {
         return Some((Failure::Broken, Outcome::Failed));
     }
-    head.refused.then(|| (Failure::Refused, refusal_outcome(status, purpose)))
+    head.not_executed.then(|| (Failure::Refused, refusal_outcome(status, purpose)))
 }
 
 /// Outcome of a refusal for the endpoint's health.
@@ -402,8 +402,8 @@
         // Another incarnation listens at the address, or the engine has changed its stage.
         _ if status == StatusCode::MISDIRECTED_REQUEST => Outcome::Down,
         // The engine had granted the memory: it is about to change its stage, or the KV cache to fetch is gone.
-        Purpose::Decode { hold: Some(_), source: None, .. } => Outcome::Down,
-        Purpose::Decode { hold: Some(_), source: Some(_), .. } => Outcome::Failed,
+        Purpose::Decode { reservation: Some(_), source: None, .. } => Outcome::Down,
+        Purpose::Decode { reservation: Some(_), source: Some(_), .. } => Outcome::Failed,
         Purpose::Run | Purpose::Prefill | Purpose::Decode { .. } => Outcome::Refused,
     }
 }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -135,7 +135,7 @@
         let known = node.mirror().read_offset(topic);
         let from = (known > 0 && !self.records_dropped).then_some(known);
         let page = match from {
-            None => client.newest(topic.name()).await?,
+            None => client.latest(topic.name()).await?,
             Some(from) => client.read(topic.name(), from, LONG_POLL).await?,
         };
         node.record_store_answer(self.failures > 0);
@@ -157,7 +157,7 @@
 
 /// Follows one topic forever.
 pub async fn follow(node: Arc<Node>, topic: Topic) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut follower = Follower::default();
     loop {
         let Some(reason) = follower.reason(&node, topic) else {
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -8,8 +8,8 @@
 use crate::{plain, quarantine, quota, shutdown, stream};
 use bytes::Bytes;
 use crosslane_coordination::identity;
-use crosslane_platform::answer;
-use crosslane_platform::ask::Ask;
+use crosslane_platform::request::Metadata;
+use crosslane_platform::response;
 use crosslane_state::hash;
 use crosslane_state::organisation::Organisation;
 use crosslane_state::route::{Kind, Limits, Route, Table};
@@ -104,7 +104,7 @@
 
 async fn handle(node: Arc<Node>, request: Request<Incoming>, caller: IpAddr) -> Response<Reply> {
     let arrived = Instant::now();
-    let parsed = Ask::try_from(request.headers());
+    let parsed = Metadata::try_from(request.headers());
     let id = parsed.as_ref().ok().map(|ask| ask.id.clone());
     let mut entry = LogEntry::new(node.clone(), id.clone(), caller, arrived);
     let result = match parsed {
@@ -120,10 +120,10 @@
         }
     };
     if node.stopping.borrow().is_some() {
-        answer::close(response.headers_mut());
+        response::set_connection_close(response.headers_mut());
     }
     entry.status = response.status();
-    entry.bytes_left = answer::length(response.headers());
+    entry.bytes_left = response::content_length(response.headers());
     if response.body().is_end_stream() && entry.ending == CALLER_LEFT {
         entry.ending = ANSWERED;
     }
@@ -133,7 +133,7 @@
 async fn serve_request(
     node: &Arc<Node>,
     request: Request<Incoming>,
-    mut ask: Ask,
+    mut ask: Metadata,
     entry: &mut LogEntry,
 ) -> Result<Response<Reply>, Refusal> {
     let Some(mut table) = node.table() else {
@@ -151,12 +151,12 @@
     let (route, organisation) = authorize(&table, &ask, head.uri.path())?;
     entry.route.clone_from(&route.name);
     if table.organisations.is_some() {
-        ask.identify(organisation.map(|known| known.name.as_str()));
+        ask.set_organisation(organisation.map(|known| known.name.as_str()));
         entry.organisation.clone_from(&ask.organisation);
     }
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadline =
-        node.clock.deadline(ask.patience.map_or(timeout, |patience| patience.min(timeout)));
+        node.clock.deadline(ask.timeout.map_or(timeout, |patience| patience.min(timeout)));
     let body = read_body(body, table.limits, deadline.left()).await?;
     let service = choose_service(route, &ask.id);
     shutdown::check(node, route, service, deadline.left())?;
@@ -166,7 +166,8 @@
     parts.path_and_query = head.uri.path_and_query().cloned();
     let uri = hyper::Uri::from_parts(parts).map_err(|_| Reason::NoRoute)?;
     let method = head.method;
-    let grant = quota::acquire_for_organisation(node, organisation, ask.tokens(), &ask.id).await?;
+    let grant =
+        quota::acquire_for_organisation(node, organisation, ask.total_tokens(), &ask.id).await?;
     let (metadata, fingerprint, grant) = (Arc::new(ask), Arc::default(), Arc::new(grant));
     let call = Call { metadata, method, uri, body, arrived, deadline, fingerprint, grant };
     quarantine::check(node, &call).map_err(|failure| quarantine::refusal(node, &call, failure))?;
@@ -184,7 +185,7 @@
 /// Matches a request to its route and authenticates its organisation.
 fn authorize<'a>(
     table: &'a Table,
-    ask: &Ask,
+    ask: &Metadata,
     path: &str,
 ) -> Result<(&'a Route, Option<&'a Organisation>), Reason> {
     let route = table.find(&ask.host, path).ok_or(Reason::NoRoute)?;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -216,7 +216,7 @@
             own_ip: settings.ip,
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
-            retry_window_ms: settings.retry_window,
+            retry_window_ms: settings.retry_window_ms,
             members: HashMap::new(),
             unannounced: false,
             readers_missing_since: None,
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/mirror.rs
@@ -28,8 +28,8 @@
     /// Name in the store.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Operators => store::OPERATORS,
-            Self::Endpoints => store::ENDPOINTS,
+            Self::Operators => store::OPERATOR_TOPIC,
+            Self::Endpoints => store::ENDPOINT_TOPIC,
         }
     }
 }
@@ -287,7 +287,9 @@
     fn merge_configurations(&mut self, page: Page) -> bool {
         self.operators_end = self.operators_end.max(page.end);
         let mut changed = false;
-        for record in page.records.into_iter().filter(|record| record.key == store::CONFIGURATION) {
+        for record in
+            page.records.into_iter().filter(|record| record.key == store::CONFIGURATION_KEY)
+        {
             if let Some(text) = record.value {
                 changed |= self.configuration.add_version(record.offset + 1, text);
             }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -157,7 +157,7 @@
         let budget = Budget {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
-            window: settings.retry_window,
+            window: settings.retry_window_ms,
         };
         Ok(Self {
             clock: Clock::start(),
@@ -189,7 +189,10 @@
             store_read_at: Mutex::default(),
             last_store_call_failed: AtomicBool::new(false),
             resumed_at: Mutex::default(),
-            peer_bandwidth: Mutex::new(Pace::new(settings.link / LINK_SHARE_DIVISOR, BURST_BYTES)),
+            peer_bandwidth: Mutex::new(Pace::new(
+                settings.link_bytes_per_second / LINK_SHARE_DIVISOR,
+                BURST_BYTES,
+            )),
             patience: Mutex::default(),
             durations: Mutex::default(),
             quarantine: Mutex::new(Quarantine::new(Tag::of(&settings.vm))),
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -5,7 +5,7 @@
 use crate::node::{Node, lock};
 use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
 use crosslane_coordination::stages::{Change, Planner};
-use crosslane_platform::engine::{self, Order};
+use crosslane_platform::engine::{self, OrderOutcome};
 use crosslane_platform::store::{Client, Error};
 use crosslane_state::endpoint::{Stage, Tag};
 use log::{debug, info, warn};
@@ -36,8 +36,8 @@
 /// Gives orders while this node is the leader, forever.
 pub async fn run(node: Arc<Node>) {
     sleep(DISCOVERY_TIME).await;
-    let mut client = Client::new(node.settings.store);
-    let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease);
+    let mut client = Client::new(node.settings.store_address);
+    let mut lease = Lease::new(node.settings.vm.clone(), node.settings.lease_ms);
     let mut plans = HashMap::new();
     loop {
         let active = node.stopping.borrow().is_none();
@@ -124,7 +124,7 @@
     lease: &mut Lease,
     plans: &mut Plans,
 ) -> Result<Option<(u64, Vec<(String, Change)>)>, Error> {
-    let page = client.newest(TOPIC).await?;
+    let page = client.latest(TOPIC).await?;
     let value = page
         .records
         .iter()
@@ -170,17 +170,17 @@
     let Some(endpoint) = node.pool().get(change.key).cloned() else {
         return;
     };
-    let request = engine::order(&endpoint, change.stage, &node.settings.vm, fence);
+    let request = engine::order_stage_change(&endpoint, change.stage, &node.settings.vm, fence);
     let answer = node.control.call(endpoint.address, request, ORDER_TIMEOUT).await;
     let id = endpoint.id;
     let stage = format!("{:?}", change.stage);
-    let outcome = answer.map(|answer| engine::ordered(answer.status));
-    if matches!(outcome, Ok(Order::Taken)) {
+    let outcome = answer.map(|answer| engine::parse_order_outcome(answer.status));
+    if matches!(outcome, Ok(OrderOutcome::Taken)) {
         node.pool().record_stage_order(change.key, change.stage, node.now());
         node.heartbeat_due.notify_one();
     }
     match outcome {
-        Ok(Order::Fenced) => info!(id, stage, fence, outcome = "fenced"; "{}", event::ORDER),
+        Ok(OrderOutcome::Fenced) => info!(id, stage, fence, outcome = "fenced"; "{}", event::ORDER),
         Ok(outcome) => info!(id, stage, fence, outcome:? = outcome; "{}", event::ORDER),
         Err(error) => info!(id, stage, fence, outcome:% = error; "{}", event::ORDER),
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -173,7 +173,7 @@
 
 /// Registers this node's address in the store, and reads those of the others.
 async fn register_address(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let value = node.settings.ip.to_string();
     let mut appended = false;
     let mut failures = 0_u32;
@@ -183,7 +183,7 @@
                 client.append(ADDRESS_TOPIC, &node.settings.vm, value.as_bytes(), None).await?;
                 appended = true;
             }
-            client.newest(ADDRESS_TOPIC).await
+            client.latest(ADDRESS_TOPIC).await
         };
         match result.await {
             Ok(page) => {
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use crosslane_coordination::choice::Query;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::answer;
-use crosslane_platform::ask::Purpose;
+use crosslane_platform::request::Purpose;
+use crosslane_platform::response;
 use crosslane_state::endpoint::{Key, Stage};
 use crosslane_state::route::{Kind, Route};
 use crosslane_transport::http;
@@ -185,7 +185,7 @@
     Metrics::observe(&node.meter.first_byte, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.record_outcome(if error { Outcome::Error } else { Outcome::Good });
-    let short = answer.head.length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
+    let short = answer.head.content_length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
     if route.kind != Kind::Safe || !short {
         return Ok(Attempt::Final(relay(node, answer, call)));
     }
@@ -197,14 +197,14 @@
 fn buffered(parts: Parts, body: Bytes) -> Response<Reply> {
     let mut response = Response::new(http::full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = answer::headers(&parts.headers);
+    *response.headers_mut() = response::forwarded_headers(&parts.headers);
     response
 }
 
 /// Streams a response to the caller; cut at the deadline.
 pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<Reply> {
     let status = answer.parts.status;
-    let headers = answer::headers(&answer.parts.headers);
+    let headers = response::forwarded_headers(&answer.parts.headers);
     let initial = Some((node.clone(), answer, call.clone()));
     let frames = futures::stream::unfold(initial, move |state| async move {
         let (node, mut answer, call) = state?;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -13,7 +13,7 @@
 use crosslane_coordination::ruling::{SHUT_OUT_MS, Verdict};
 use crosslane_coordination::suspect::{JOINT_CRASH_WINDOW_MS, STRIKES_TO_SHUT_OUT};
 use crosslane_coordination::suspicion::{Status, Strike, Update};
-use crosslane_platform::ask::Purpose;
+use crosslane_platform::request::Purpose;
 use crosslane_state::endpoint::{Endpoint, Key, Tag};
 use crosslane_state::fingerprint::Fingerprint;
 use crosslane_state::time::Millis;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,8 +13,8 @@
 use bytes::{Bytes, BytesMut};
 use crosslane_coordination::admission::FULL_UTILIZATION;
 use crosslane_coordination::health::Outcome;
-use crosslane_platform::ask::Purpose;
-use crosslane_platform::engine::{self, Move};
+use crosslane_platform::engine::{self, MoveOutcome};
+use crosslane_platform::request::Purpose;
 use crosslane_state::endpoint::Endpoint;
 use crosslane_state::route::Kind;
 use crosslane_transport::http::BodyError;
@@ -191,8 +191,8 @@
         let control = self.generation.node.control.clone();
         let answer = control.call(source.address, request, MOVE_TIMEOUT).await;
         let outcome = match &answer {
-            Ok(answer) => engine::moved(answer.status, &answer.body),
-            Err(_) => Move::Refused,
+            Ok(answer) => engine::parse_move_outcome(answer.status, &answer.body),
+            Err(_) => MoveOutcome::Refused,
         };
         self.log_move(&source, &target, &outcome);
         // The source keeps the KV cache until the run continues, so a run that the target refuses is not lost.
@@ -200,9 +200,9 @@
             Slot::acquire(&self.generation.node, (key, 0.0), self.generation.expected_tokens());
         stopped.skip_rate_limit();
         let (handle, slots) = match outcome {
-            Move::Copied { handle } => (handle, vec![slot, stopped]),
-            Move::Stopped { handle } => (handle, vec![stopped]),
-            Move::Ended | Move::Refused => return None,
+            MoveOutcome::Copied { handle } => (handle, vec![slot, stopped]),
+            MoveOutcome::Stopped { handle } => (handle, vec![stopped]),
+            MoveOutcome::Ended | MoveOutcome::Refused => return None,
         };
         self.move_at = None;
         let drained = self.drain().await;
@@ -210,7 +210,7 @@
         drained
     }
 
-    fn log_move(&self, from: &Endpoint, to: &Endpoint, outcome: &Move) {
+    fn log_move(&self, from: &Endpoint, to: &Endpoint, outcome: &MoveOutcome) {
         let (request, from, to) =
             (self.generation.call.metadata.id.as_str(), from.id.as_str(), to.id.as_str());
         info!(request, from, to, outcome:? = outcome; "{}", event::MOVE);
@@ -233,7 +233,7 @@
     async fn continue_run(&mut self, source: &Endpoint, handle: &str, slots: Vec<Slot>) {
         let last_event = self.last_event();
         let source = Some((source.address, handle));
-        let purpose = Purpose::Decode { hold: None, source, last_event };
+        let purpose = Purpose::Decode { reservation: None, source, last_event };
         let until = self.generation.call.deadline.instant();
         self.answer = None;
         for slot in slots {
@@ -252,7 +252,7 @@
 
     /// Id of the last event that the caller has, relayed here or in the response that it resumes.
     fn last_event(&self) -> Option<u64> {
-        self.events.last_id().or(self.generation.call.metadata.last_event)
+        self.events.last_id().or(self.generation.call.metadata.last_event_id)
     }
 
     /// Resumes the stream at other engines while attempts are left. Returns false if that is not allowed or failed.
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -39,14 +39,14 @@
 impl Generation {
     /// KV cache tokens that the request is expected to need.
     pub fn expected_tokens(&self) -> u32 {
-        self.call.metadata.prompt + self.output_tokens()
+        self.call.metadata.prompt_tokens + self.output_tokens()
     }
 
     /// Output tokens that the request is expected to generate.
     fn output_tokens(&self) -> u32 {
         let ask = &self.call.metadata;
-        let default = (f64::from(ask.most) * DEFAULT_OUTPUT_SHARE) as u32;
-        ask.hint.unwrap_or(default).min(ask.most)
+        let default = (f64::from(ask.max_output_tokens) * DEFAULT_OUTPUT_SHARE) as u32;
+        ask.expected_output_tokens.unwrap_or(default).min(ask.max_output_tokens)
     }
 
     /// Reserves memory at a decode engine other than `except`, and waits for it until a time.
@@ -115,10 +115,10 @@
         let mut slot = Slot::acquire(&self.node, place, self.expected_tokens());
         // Before memory is reserved, which would stay unused without a permit.
         slot.acquire_permit(&self.call.metadata.id).await.ok()?;
-        let request = engine::take_hold(&engine, tokens, self.engine.max_hold_ms);
+        let request = engine::reserve(&engine, tokens, self.engine.max_hold_ms);
         let answer = self.node.control.call(engine.address, request, RESERVE_TIMEOUT).await;
         let id = match &answer {
-            Ok(answer) if answer.status.is_success() => engine::hold(&answer.body),
+            Ok(answer) if answer.status.is_success() => engine::parse_reservation(&answer.body),
             Ok(answer) => {
                 debug!("reservation at {} refused: {}", engine.id, answer.status);
                 let full = answer.status == StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -73,7 +73,7 @@
 /// Reads the rulings from the store at the start, and follows them forever while this node is a
 /// reader.
 pub async fn follow(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut known = None;
     let mut failures = 0_u32;
     let mut initialised = false;
@@ -102,7 +102,7 @@
 
 async fn read(client: &mut Client, known: Option<u64>) -> Result<Page, Error> {
     match known {
-        None => client.newest(TOPIC).await,
+        None => client.latest(TOPIC).await,
         Some(from) => client.read(TOPIC, from, LONG_POLL).await,
     }
 }
@@ -130,7 +130,7 @@
 
 /// Writes rulings that the store lacks, forever.
 pub async fn save(node: Arc<Node>) {
-    let mut client = Client::new(node.settings.store);
+    let mut client = Client::new(node.settings.store_address);
     let mut failures = 0_u32;
     loop {
         // A new ruling is written at once, since all nodes may be killed at the next moment.
@@ -155,7 +155,7 @@
 
 /// All unexpired rulings in the store.
 pub async fn list(client: &mut Client) -> Result<Vec<Entry>, Error> {
-    let page = client.newest(TOPIC).await?;
+    let page = client.latest(TOPIC).await?;
     let unix = clock::unix();
     let entries = page.records.iter().filter_map(|record| Entry::try_from(record).ok());
     Ok(entries.filter(|entry| !entry.ruling.is_expired(unix)).collect())
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -56,7 +56,7 @@
     };
     let arrival = Arrival {
         since_announcement: Duration::from_millis(node.now().since(announced_at)),
-        grace: Duration::from_millis(node.settings.grace),
+        grace: Duration::from_millis(node.settings.grace_ms),
         remaining,
         longest: node.longest_duration(service).map_or(remaining, |longest| longest.min(remaining)),
         is_stream: matches!(route.kind, Kind::Stream { .. }),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -19,8 +19,8 @@
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
 use crosslane_coordination::reader::{Kept, Reader};
-use crosslane_platform::ask::Purpose;
-use crosslane_platform::{answer, engine};
+use crosslane_platform::request::Purpose;
+use crosslane_platform::{engine, response};
 use crosslane_state::endpoint::{Key, Stage};
 use crosslane_state::route::{Engine, Kind, Route};
 use hyper::Response;
@@ -91,9 +91,9 @@
             max_silence_ms: route.caller_idle_timeout_ms(),
             spent_ms: call
                 .metadata
-                .patience
+                .timeout
                 .map_or(0, |patience| node.earlier_attempts_ms(&route.name, patience)),
-            resumes: call.metadata.last_event.is_some(),
+            resumes: call.metadata.last_event_id.is_some(),
         };
         let timeliness = Tier::from(&caller);
         let (attempts, prefilled_at, failover) = (0, None, None);
@@ -130,7 +130,7 @@
             reservation = self.reserve(until, None).await?;
         }
         let answer =
-            self.decode(&mut reservation, handle.as_mut(), self.call.metadata.last_event).await;
+            self.decode(&mut reservation, handle.as_mut(), self.call.metadata.last_event_id).await;
         let answer = match answer {
             Ok(answer) => answer,
             Err(failure) => self.retry(failure).await?,
@@ -164,7 +164,7 @@
     /// most were refused before their prefill, or are no retries at all, so no engine has their prompt (537 lookups a
     /// day on eleven nodes, each at 47 engines, without a hit).
     async fn cache_hits(&self) -> Hits {
-        match &self.call.metadata.part {
+        match &self.call.metadata.last_segment_id {
             Some(part) if self.timeliness == Tier::Resumed => {
                 cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
@@ -260,13 +260,13 @@
 
     async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let started_at = Instant::now();
-        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt);
+        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt_tokens);
         let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
         answer.record_outcome(Outcome::Good);
         let (_, body) = answer.read_body(&self.call, MAX_PREFILL_RESPONSE_BYTES, until).await?;
-        let Some(id) = engine::handle(&body) else {
+        let Some(id) = engine::parse_kv_handle(&body) else {
             return Ok(None);
         };
         Metrics::observe(&self.node.meter.prefill, started_at.elapsed());
@@ -284,7 +284,8 @@
             return Err(Failure::Unsent);
         };
         let source = handle.as_deref().and_then(Handle::source);
-        let purpose = Purpose::Decode { hold: reservation.id.as_deref(), source, last_event };
+        let purpose =
+            Purpose::Decode { reservation: reservation.id.as_deref(), source, last_event };
         let (at, until) = (slot.key, self.call.deadline.instant());
         let sending = exchange::send(&self.call, slot, &purpose, until);
         let answer = match self.unless_stalled(at, self.attempts + 1, sending).await {
@@ -360,7 +361,7 @@
                 break;
             }
             self.node.meter.count_retry(failure.into());
-            match self.retry_elsewhere(self.call.metadata.last_event).await {
+            match self.retry_elsewhere(self.call.metadata.last_event_id).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
                 Err(Some(next)) if next.quarantined() && failure.may_have_run() => break,
@@ -414,7 +415,7 @@
 
     fn relay(self, answer: Answer) -> Response<Reply> {
         let status = answer.parts.status;
-        let headers = answer::headers(&answer.parts.headers);
+        let headers = response::forwarded_headers(&answer.parts.headers);
         let mut response = Response::new(Relay::new(self, answer).body());
         *response.status_mut() = status;
         *response.headers_mut() = headers;
--- a/crates/gateway/tests/mirror.rs
+++ b/crates/gateway/tests/mirror.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use crosslane_gateway::history::Download;
 use crosslane_gateway::mirror::{Batch, Change, Mirror, Snapshot, Topic};
-use crosslane_platform::store::{CONFIGURATION, Page, Record};
+use crosslane_platform::store::{CONFIGURATION_KEY, Page, Record};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -197,7 +197,7 @@
 }
 
 fn publish(mirror: &mut Mirror, offset: u64, text: Bytes) {
-    let key = CONFIGURATION.into();
+    let key = CONFIGURATION_KEY.into();
     let record = Record { offset, key, value: Some(text) };
     mirror.merge(Topic::Operators, Page { records: vec![record], end: offset + 1 }, Some(offset));
 }
@@ -313,7 +313,7 @@
     let mut node = Mirror::default();
     publish(&mut node, 0, text(0, 100));
     catch_up(&mut node, &mut ahead, &mut Download::default());
-    let record = Record { offset: 0, key: CONFIGURATION.into(), value: Some(text(0, 100)) };
+    let record = Record { offset: 0, key: CONFIGURATION_KEY.into(), value: Some(text(0, 100)) };
     let change = node.merge(Topic::Operators, Page { records: vec![record], end: 1 }, None);
     assert!(!change.configuration);
     assert_eq!(node.configuration(), ahead.configuration());
