--- a/crates/coordination/src/allowance.rs
+++ b/crates/coordination/src/allowance.rs
@@ -23,7 +23,7 @@
     /// Retries allowed in addition.
     pub slack: f64,
     /// Length of the window, in milliseconds.
-    pub window: u64,
+    pub window_ms: u64,
 }
 
 /// Times of one service's requests and retries within the window.
@@ -57,16 +57,16 @@
     }
 
     /// Counts a request for a service.
-    pub fn request(&mut self, service: &str, now: Millis) {
-        let window = self.budget.window;
+    pub fn record_request(&mut self, service: &str, now: Millis) {
+        let window = self.budget.window_ms;
         let tally = self.tally(service);
         tally.requests.push_back(now);
         tally.drop_before(now - window);
     }
 
     /// Takes one retry if this node's part of the budget, one of `members`, has room for it.
-    pub fn take(&mut self, service: &str, members: usize, now: Millis) -> bool {
-        let Budget { ratio, slack, window } = self.budget;
+    pub fn take_retry(&mut self, service: &str, members: usize, now: Millis) -> bool {
+        let Budget { ratio, slack, window_ms: window } = self.budget;
         let tally = self.tally(service);
         tally.drop_before(now - window);
         let earned = ratio * RATIO_MARGIN * tally.requests.len() as f64;
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -7,7 +7,7 @@
 
 /// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum Liveness {
     /// There was contact recently, or none is due yet.
     Alive,
     /// There was no contact for too long; other nodes are to be asked.
@@ -41,12 +41,12 @@
     }
 
     /// Whether a node is watched.
-    pub fn watches(&self, node: Incarnation) -> bool {
+    pub fn is_watching(&self, node: Incarnation) -> bool {
         self.contacts.contains_key(&node)
     }
 
     /// Records contact with a node.
-    pub fn heard(&mut self, node: Incarnation, now: Millis) {
+    pub fn record_contact(&mut self, node: Incarnation, now: Millis) {
         self.contacts.insert(node, Contact { last: now, confirmed: None });
     }
 
@@ -63,12 +63,12 @@
     }
 
     /// State of a node; one that is not watched is dead.
-    pub fn belief(&self, node: Incarnation, now: Millis) -> Belief {
+    pub fn liveness(&self, node: Incarnation, now: Millis) -> Liveness {
         match self.contacts.get(&node) {
-            None => Belief::Dead,
-            Some(contact) if now.since(contact.last) < self.suspect_after_ms => Belief::Alive,
-            Some(Contact { confirmed: Some(_), .. }) => Belief::Dead,
-            Some(_) => Belief::Suspect,
+            None => Liveness::Dead,
+            Some(contact) if now.since(contact.last) < self.suspect_after_ms => Liveness::Alive,
+            Some(Contact { confirmed: Some(_), .. }) => Liveness::Dead,
+            Some(_) => Liveness::Suspect,
         }
     }
 
@@ -77,7 +77,7 @@
         let mut suspects: Vec<_> = self
             .contacts
             .keys()
-            .filter(|node| self.belief(**node, now) == Belief::Suspect)
+            .filter(|node| self.liveness(**node, now) == Liveness::Suspect)
             .copied()
             .collect();
         suspects.sort_unstable();
@@ -85,7 +85,7 @@
     }
 
     /// Resets all nodes to recent contact, after this process was paused.
-    pub fn restart(&mut self, now: Millis) {
+    pub fn reset(&mut self, now: Millis) {
         for contact in self.contacts.values_mut() {
             *contact = Contact { last: now, confirmed: None };
         }
--- a/crates/coordination/src/durations.rs
+++ b/crates/coordination/src/durations.rs
@@ -10,17 +10,17 @@
 /// Length of a window, in milliseconds. Durations are kept for their own window and the next one.
 const WINDOW_MS: u64 = 30_000;
 
-/// A request in progress.
+/// Start of a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mark {
-    began: Millis,
+pub struct Timer {
+    started_at: Millis,
     number: u64,
 }
 
 /// Durations of the requests of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Durations {
-    in_progress: BTreeSet<Mark>,
+    in_progress: BTreeSet<Timer>,
     counter: u64,
     /// Longest duration in this window and in the one before, in milliseconds.
     longest: [Option<u64>; 2],
@@ -30,20 +30,20 @@
 
 impl Durations {
     /// Records the start of a request.
-    pub fn begin(&mut self, now: Millis) -> Mark {
+    pub fn begin(&mut self, now: Millis) -> Timer {
         self.counter += 1;
-        let mark = Mark { began: now, number: self.counter };
-        self.in_progress.insert(mark);
-        mark
+        let timer = Timer { started_at: now, number: self.counter };
+        self.in_progress.insert(timer);
+        timer
     }
 
     /// Records its end. A request without a complete answer would have lasted longer, or did not
     /// run at all, so it counts only if a complete one is known.
-    pub fn end(&mut self, mark: Mark, complete: bool, now: Millis) {
-        self.in_progress.remove(&mark);
+    pub fn end(&mut self, timer: Timer, complete: bool, now: Millis) {
+        self.in_progress.remove(&timer);
         self.rotate(now);
         if complete || self.longest_ended().is_some() {
-            let duration = now.since(mark.began);
+            let duration = now.since(timer.started_at);
             self.longest[0] = self.longest[0].max(Some(duration));
         }
     }
@@ -51,7 +51,7 @@
     /// Longest duration to expect, in milliseconds; `None` if no request was answered recently.
     pub fn longest(&mut self, now: Millis) -> Option<u64> {
         self.rotate(now);
-        let oldest = self.in_progress.first().map_or(0, |mark| now.since(mark.began));
+        let oldest = self.in_progress.first().map_or(0, |timer| now.since(timer.started_at));
         self.longest_ended().map(|longest| longest.max(oldest))
     }
 
--- a/crates/coordination/src/health.rs
+++ b/crates/coordination/src/health.rs
@@ -104,7 +104,7 @@
     }
 
     /// Counts an outcome.
-    pub fn note(&mut self, outcome: Outcome, now: Millis) {
+    pub fn observe(&mut self, outcome: Outcome, now: Millis) {
         self.record = self.record(now);
         self.record.observe(outcome);
         self.updated_at = now;
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of other nodes that are all sent updates of usage at once, whatever their failure
 /// domain. At some 8 updates per second and node these cost twice as much as heartbeats.
-pub const FEW: usize = 32;
+pub const MAX_NEAR_PEERS: usize = 32;
 
 /// Heartbeats between those to other failure domains, in larger fleets. Nodes prefer engines of
 /// their own domain, and traffic between domains is expensive.
@@ -38,26 +38,26 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
     /// To nodes of its own failure domain, or to all in a small fleet.
-    pub near: u64,
+    pub near_ms: u64,
     /// To nodes of other failure domains.
-    pub far: u64,
+    pub far_ms: u64,
 }
 
 impl Interval {
     /// Interval of a node with `others` other nodes.
-    pub fn among(others: usize) -> Self {
+    pub fn for_peers(others: usize) -> Self {
         let near = MIN_INTERVAL_MS.max(INTERVAL_PER_NODE_US * others as u64 / 1_000);
-        let far = if others <= FEW { near } else { near * FAR_EVERY };
-        Self { near, far }
+        let far = if others <= MAX_NEAR_PEERS { near } else { near * FAR_EVERY };
+        Self { near_ms: near, far_ms: far }
     }
 
     /// Interval to a node of the same failure domain or of another one.
-    pub fn toward(self, same_domain: bool) -> u64 {
-        if same_domain { self.near } else { self.far }
+    pub fn for_domain(self, same_domain: bool) -> u64 {
+        if same_domain { self.near_ms } else { self.far_ms }
     }
 }
 
 /// Validity of a heartbeat whose sender sends the next one after an interval, in milliseconds.
-pub fn life(interval: u64) -> u64 {
+pub fn ttl_ms(interval: u64) -> u64 {
     MIN_VALIDITY_MS.max(interval.saturating_mul(VALID_HALF_INTERVALS) / 2)
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,7 +1,7 @@
 //! Lease on sending orders to engines, in the platform's store, taken by conditional append.
 //!
 //! The holder appends a new record before each round of orders and sends them within
-//! `ORDER_WINDOW`. Any other node may append only after the record has been unchanged for longer
+//! `ORDER_WINDOW_MS`. Any other node may append only after the record has been unchanged for longer
 //! than the lease and that window, so more than the lease's length lies between the orders of two
 //! holders. The record's offset is the fencing token, which rises with each append.
 
@@ -9,11 +9,11 @@
 
 /// Time after the start of an append within which its orders are sent, in milliseconds. It is far
 /// shorter than the lease, so that a late order still falls inside it.
-pub const ORDER_WINDOW: u64 = 1_000;
+pub const ORDER_WINDOW_MS: u64 = 1_000;
 
 /// Time after the lease's end before another node takes over, in milliseconds: the order window and
 /// a margin for a slow answer of the store and for timers that fire late.
-const TAKEOVER_MARGIN_MS: u64 = ORDER_WINDOW + 500;
+const TAKEOVER_MARGIN_MS: u64 = ORDER_WINDOW_MS + 500;
 
 /// State of the lease in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,7 +1,7 @@
 //! Facade over all decisions of one node.
 
 use crate::claims::{Claims, Doubt};
-use crate::detector::{Belief, Detector};
+use crate::detector::{Detector, Liveness};
 use crate::fold;
 use crate::ledger::{self, Ledger};
 use crate::placement::{Chooser, Mode, Query};
@@ -239,8 +239,8 @@
         if departed != self.options.incarnation {
             self.detector.watch(departed, now);
         }
-        let alive = |member| member != departed && self.belief(member, now) == Belief::Alive;
-        self.belief(departed, now) != Belief::Alive
+        let alive = |member| member != departed && self.belief(member, now) == Liveness::Alive;
+        self.belief(departed, now) != Liveness::Alive
             && self.state.roster.owner(departed.0, alive) == Some(self.options.incarnation)
     }
 
@@ -269,7 +269,7 @@
     /// Engines with a dead owner that this node cleans up until the departure is in the log: those in
     /// whose ranking it is the first node that is alive and not leaving.
     pub fn taken_over(&self, now: Millis) -> Vec<Runner> {
-        let alive = |member| self.belief(member, now) == Belief::Alive;
+        let alive = |member| self.belief(member, now) == Liveness::Alive;
         let all_alive = self.state.roster.iter().all(|member| alive(member.incarnation));
         if all_alive {
             return Vec::new();
@@ -279,7 +279,7 @@
         let assigned_here = |runner: &&Runner| {
             let owner = self.owner(runner.id);
             runner.role != Role::Service
-                && owner.is_some_and(|owner| self.belief(owner, now) == Belief::Dead)
+                && owner.is_some_and(|owner| self.belief(owner, now) == Liveness::Dead)
                 && roster.owner(runner.id.0, eligible) == Some(self.options.incarnation)
         };
         self.options.table.iter().filter(assigned_here).cloned().collect()
@@ -395,24 +395,24 @@
     /// longer watched, as it sends no heartbeats here.
     pub fn confirm_alive(&mut self, node: Incarnation, now: Millis) {
         if self.neighbours().iter().any(|member| member.incarnation == node) {
-            self.detector.heard(node, now);
+            self.detector.record_contact(node, now);
         } else {
             self.detector.forget(node);
         }
     }
 
     /// Liveness of a node as seen here; a member that is not watched counts as alive.
-    pub fn belief(&self, node: Incarnation, now: Millis) -> Belief {
+    pub fn belief(&self, node: Incarnation, now: Millis) -> Liveness {
         if node == self.options.incarnation {
-            return Belief::Alive;
+            return Liveness::Alive;
         }
         if self.member(node).is_none() {
-            return Belief::Dead;
+            return Liveness::Dead;
         }
-        if !self.detector.watches(node) {
-            return Belief::Alive;
+        if !self.detector.is_watching(node) {
+            return Liveness::Alive;
         }
-        self.detector.belief(node, now)
+        self.detector.liveness(node, now)
     }
 
     /// Node that handles a keyed request. Nodes in `released_by` have released the key.
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::choice::{self, MAX_FULL_SCAN, Query};
 use crate::entry::{Entry, Load};
 use crate::health::{Health, Outcome};
-use crate::usage::{Told, Usage};
+use crate::usage::{PeerUsage, Usage};
 use crosslane_state::endpoint::{Endpoint, Key, Stage, Tag};
 use crosslane_state::time::Millis;
 use rand::rngs::SmallRng;
@@ -41,7 +41,7 @@
     domain: String,
     entries: SlotMap<Key, Entry>,
     tags: HashMap<Tag, Key>,
-    peer_usage: Told,
+    peer_usage: PeerUsage,
     /// Engines whose local usage changed since the last delta was taken.
     changed_usage: HashSet<Key>,
     /// Open stage-change orders by engine.
@@ -56,7 +56,7 @@
             domain,
             entries: SlotMap::with_key(),
             tags: HashMap::new(),
-            peer_usage: Told::default(),
+            peer_usage: PeerUsage::default(),
             changed_usage: HashSet::new(),
             stage_orders: HashMap::new(),
             random,
@@ -243,7 +243,7 @@
     /// Records the outcome of a request for the endpoint's health.
     pub fn record_outcome(&mut self, key: Key, outcome: Outcome, now: Millis) {
         if let Some(entry) = self.entries.get_mut(key) {
-            entry.health.note(outcome, now);
+            entry.health.observe(outcome, now);
         }
     }
 
@@ -336,7 +336,7 @@
 
     /// Replaces the usage of another node with a full report that expires at `until`.
     pub fn apply_usage_report(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) {
-        let changed = self.peer_usage.hear(peer, usage, until);
+        let changed = self.peer_usage.replace(peer, usage, until);
         self.refresh_remote(changed);
     }
 
--- a/crates/coordination/src/reader.rs
+++ b/crates/coordination/src/prefiller.rs
@@ -21,9 +21,9 @@
 
 /// Where the KV cache of a prompt is held from an earlier attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum KvCache {
     /// Nowhere.
-    Nowhere,
+    Absent,
     /// At the engine that will generate.
     Decoding,
     /// At a prefill engine, which can transfer it.
@@ -32,24 +32,24 @@
 
 /// Engine that runs the prefill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reader {
+pub enum Prefiller {
     /// The decode engine that will generate.
     Decoding,
     /// A prefill engine.
     Prefilling,
 }
 
-impl Reader {
+impl Prefiller {
     /// Chooses by where the KV cache is held, and by the queue of the least busy of `engines`
     /// prefill engines, if there is one.
-    pub fn choose(kept: Kept, queue: Option<f64>, engines: usize) -> Self {
+    pub fn choose(cache: KvCache, queue: Option<f64>, engines: usize) -> Self {
         let threshold =
             (THRESHOLD_TIMES_ENGINES / engines.max(1) as f64).clamp(MIN_THRESHOLD, MAX_THRESHOLD);
-        match (kept, queue) {
-            (Kept::Decoding, _) => Self::Decoding,
-            (Kept::Prefilling, _) => Self::Prefilling,
-            (Kept::Nowhere, Some(queue)) if queue < threshold => Self::Prefilling,
-            (Kept::Nowhere, _) => Self::Decoding,
+        match (cache, queue) {
+            (KvCache::Decoding, _) => Self::Decoding,
+            (KvCache::Prefilling, _) => Self::Prefilling,
+            (KvCache::Absent, Some(queue)) if queue < threshold => Self::Prefilling,
+            (KvCache::Absent, _) => Self::Decoding,
         }
     }
 }
--- a/crates/coordination/src/reconcile.rs
+++ b/crates/coordination/src/reconcile.rs
@@ -3,7 +3,7 @@
 //! The engine's own list is the source of truth, as it survives any node. A new owner of a runner
 //! therefore needs no state of the former owner to clean up.
 
-use crate::detector::Belief;
+use crate::detector::Liveness;
 use crosslane_state::attempt::Id;
 use crosslane_state::incarnation::Incarnation;
 use std::collections::BTreeMap;
@@ -21,15 +21,15 @@
 ///
 /// Live nodes are asked only about attempts that are due for confirmation; attempts of suspected
 /// nodes are left alone.
-pub fn plan(held: &[(Id, bool)], belief: impl Fn(Incarnation) -> Belief) -> Plan {
+pub fn plan(held: &[(Id, bool)], liveness: impl Fn(Incarnation) -> Liveness) -> Plan {
     let mut plan = Plan::default();
     for (attempt, due) in held {
-        match belief(attempt.origin) {
-            Belief::Dead => plan.cancel.push(*attempt),
-            Belief::Alive if *due => {
+        match liveness(attempt.origin) {
+            Liveness::Dead => plan.cancel.push(*attempt),
+            Liveness::Alive if *due => {
                 plan.confirm.entry(attempt.origin).or_default().push(*attempt);
             }
-            Belief::Alive | Belief::Suspect => {}
+            Liveness::Alive | Liveness::Suspect => {}
         }
     }
     plan
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Whether a runner may have started the request.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Number of the attempt, from zero.
     pub round: u16,
     /// Time left until the deadline, in milliseconds.
-    pub left: u64,
+    pub left_ms: u64,
     /// Time that another attempt takes, in milliseconds.
-    pub needs: u64,
+    pub needed_ms: u64,
 }
 
 /// Retry budget: a token bucket that new requests fill.
@@ -60,19 +60,19 @@
     }
 
     /// Adds the tokens of a new request.
-    pub fn fresh(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.percent).min(RETRY_COST * MAX_SAVED_RETRIES);
     }
 
     /// Takes a retry from the budget and returns its backoff in milliseconds, or why it is denied.
     pub fn retry(&mut self, failure: Failure) -> Result<u64, Denial> {
-        if failure.ran && !failure.repeatable {
+        if failure.may_have_run && !failure.repeatable {
             return Err(Denial::NotRepeatable);
         }
         let ceiling =
             (MIN_BACKOFF_MS << u32::from(failure.round).min(MAX_DOUBLINGS)).min(MAX_BACKOFF_MS);
         let backoff = self.random.random_range(ceiling / 2..=ceiling);
-        if backoff + failure.needs > failure.left {
+        if backoff + failure.needed_ms > failure.left_ms {
             return Err(Denial::Deadline);
         }
         if self.tokens < RETRY_COST {
--- a/crates/coordination/src/silence.rs
+++ b/crates/coordination/src/stall.rs
@@ -12,20 +12,20 @@
 
 /// Counter of consecutive timeouts.
 #[derive(Clone, Copy, Debug)]
-pub struct Silence {
+pub struct Stall {
     threshold: u32,
     timeouts: u32,
 }
 
-impl Silence {
-    /// Starts to count towards a stall of `needed` timeouts. A new counter is created with each
+impl Stall {
+    /// Starts to count towards a stall of `threshold` timeouts. A new counter is created with each
     /// output.
-    pub fn of(threshold: u32) -> Self {
+    pub fn after(threshold: u32) -> Self {
         Self { threshold, timeouts: 0 }
     }
 
     /// Counts a timeout; true if it completes a stall, and again after as many more.
-    pub fn pause(&mut self) -> bool {
+    pub fn record_timeout(&mut self) -> bool {
         self.timeouts += 1;
         self.timeouts.is_multiple_of(self.threshold)
     }
--- a/crates/coordination/src/pace.rs
+++ b/crates/coordination/src/throttle.rs
@@ -8,7 +8,7 @@
 
 /// Token bucket of bytes.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct Throttle {
     /// Bytes per second.
     rate: u64,
     /// Size of the bucket, in bytes.
@@ -17,7 +17,7 @@
     refilled_at: Millis,
 }
 
-impl Pace {
+impl Throttle {
     /// Creates a full bucket of `burst` bytes that refills at `rate` bytes per second.
     pub fn new(rate: u64, burst: u32) -> Self {
         let burst = i64::from(burst);
@@ -25,7 +25,7 @@
     }
 
     /// Refills the bucket; true if a piece may be sent now.
-    pub fn open(&mut self, now: Millis) -> bool {
+    pub fn is_ready(&mut self, now: Millis) -> bool {
         let gained = self.rate.saturating_mul(now.since(self.refilled_at)) / 1_000;
         // Time that has not yet earned a whole byte is kept for the next call.
         if gained > 0 {
@@ -36,7 +36,7 @@
     }
 
     /// Takes the bytes of a piece that was sent.
-    pub fn spend(&mut self, bytes: usize) {
+    pub fn consume(&mut self, bytes: usize) {
         self.level -= i64::try_from(bytes).unwrap_or(i64::MAX);
     }
 }
--- a/crates/coordination/src/usage.rs
+++ b/crates/coordination/src/usage.rs
@@ -42,16 +42,16 @@
 
 /// Usage of endpoints by all other nodes, as they last reported it.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct PeerUsage {
     peers: HashMap<Tag, Peer>,
     /// By endpoint, then by node.
     usage: HashMap<Tag, HashMap<Tag, Usage>>,
 }
 
-impl Told {
+impl PeerUsage {
     /// Replaces all usage of a node, which is valid until a time. Returns the endpoints whose sum
     /// may have changed.
-    pub fn hear(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) -> HashSet<Tag> {
+    pub fn replace(&mut self, peer: Tag, usage: Vec<(Tag, Usage)>, until: Millis) -> HashSet<Tag> {
         let mut changed = self.forget(peer);
         let endpoints: HashSet<Tag> = usage.iter().map(|entry| entry.0).collect();
         for (endpoint, used) in usage {
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: which callers count as late, and the longest wait and utilization limit of each class.
 
 use crosslane_coordination::admission::{self, Caller, Tier, Timeouts};
-use crosslane_coordination::reader::{Kept, Reader};
+use crosslane_coordination::prefiller::{KvCache, Prefiller};
 use crosslane_state::time::Millis;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -122,62 +122,62 @@
 
 struct Read {
     name: &'static str,
-    kept: Kept,
+    cache: KvCache,
     queue: Option<f64>,
-    reader: Reader,
+    prefiller: Prefiller,
 }
 
 #[rstest]
 #[case(Read {
     name: "not cached, short queue",
-    kept: Kept::Nowhere,
+    cache: KvCache::Absent,
     queue: Some(0.2),
-    reader: Reader::Prefilling,
+    prefiller: Prefiller::Prefilling,
 })]
 #[case(Read {
     name: "cached at the decode engine",
-    kept: Kept::Decoding,
+    cache: KvCache::Decoding,
     queue: Some(0.0),
-    reader: Reader::Decoding,
+    prefiller: Prefiller::Decoding,
 })]
 #[case(Read {
     name: "cached at a prefill engine with a queue",
-    kept: Kept::Prefilling,
+    cache: KvCache::Prefilling,
     queue: Some(0.9),
-    reader: Reader::Prefilling,
+    prefiller: Prefiller::Prefilling,
 })]
 #[case(Read {
     name: "long queue",
-    kept: Kept::Nowhere,
+    cache: KvCache::Absent,
     queue: Some(0.6),
-    reader: Reader::Decoding,
+    prefiller: Prefiller::Decoding,
 })]
 #[case(Read {
     name: "no prefill engine",
-    kept: Kept::Nowhere,
+    cache: KvCache::Absent,
     queue: None,
-    reader: Reader::Decoding,
+    prefiller: Prefiller::Decoding,
 })]
-fn reader(#[case] case: Read) {
-    assert_eq!(Reader::choose(case.kept, case.queue, 3), case.reader, "{}", case.name);
+fn prefiller(#[case] case: Read) {
+    assert_eq!(Prefiller::choose(case.cache, case.queue, 3), case.prefiller, "{}", case.name);
 }
 
 struct Queued {
     name: &'static str,
     engines: usize,
     queue: f64,
-    reader: Reader,
+    prefiller: Prefiller,
 }
 
 /// The shortest of many queues is long only if all prefill engines are busy.
 #[rstest]
-#[case(Queued { name: "few engines, short burst", engines: 3, queue: 0.3, reader: Reader::Prefilling })]
-#[case(Queued { name: "many engines, all busy", engines: 11, queue: 0.3, reader: Reader::Decoding })]
-#[case(Queued { name: "many engines, one nearly idle", engines: 11, queue: 0.1, reader: Reader::Prefilling })]
-#[case(Queued { name: "queue no longer than the prefill of one prompt", engines: 500, queue: 0.1, reader: Reader::Prefilling })]
-#[case(Queued { name: "a single engine", engines: 1, queue: 0.6, reader: Reader::Decoding })]
-#[case(Queued { name: "no usable engine left", engines: 0, queue: 0.3, reader: Reader::Prefilling })]
+#[case(Queued { name: "few engines, short burst", engines: 3, queue: 0.3, prefiller: Prefiller::Prefilling })]
+#[case(Queued { name: "many engines, all busy", engines: 11, queue: 0.3, prefiller: Prefiller::Decoding })]
+#[case(Queued { name: "many engines, one nearly idle", engines: 11, queue: 0.1, prefiller: Prefiller::Prefilling })]
+#[case(Queued { name: "queue no longer than the prefill of one prompt", engines: 500, queue: 0.1, prefiller: Prefiller::Prefilling })]
+#[case(Queued { name: "a single engine", engines: 1, queue: 0.6, prefiller: Prefiller::Decoding })]
+#[case(Queued { name: "no usable engine left", engines: 0, queue: 0.3, prefiller: Prefiller::Prefilling })]
 fn the_queue_limit_depends_on_the_number_of_prefill_engines(#[case] case: Queued) {
-    let reader = Reader::choose(Kept::Nowhere, Some(case.queue), case.engines);
-    assert_eq!(reader, case.reader, "{}", case.name);
+    let prefiller = Prefiller::choose(KvCache::Absent, Some(case.queue), case.engines);
+    assert_eq!(prefiller, case.prefiller, "{}", case.name);
 }
--- a/crates/coordination/tests/allowance.rs
+++ b/crates/coordination/tests/allowance.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::VecDeque;
 
-const BUDGET: Budget = Budget { ratio: 0.2, slack: 56.0, window: 10_000 };
+const BUDGET: Budget = Budget { ratio: 0.2, slack: 56.0, window_ms: 10_000 };
 
 struct Case {
     name: &'static str,
@@ -27,13 +27,13 @@
     for now in (0..60_000_u64).step_by(20) {
         let first = random.random_range(0..100) < case.skew;
         let node = if first { 0 } else { random.random_range(0..case.nodes) };
-        nodes[node].request("s", Millis(now));
+        nodes[node].record_request("s", Millis(now));
         requests.push_back(now);
-        while nodes[node].take("s", case.nodes, Millis(now)) {
+        while nodes[node].take_retry("s", case.nodes, Millis(now)) {
             retries.push_back(now);
         }
         for times in [&mut requests, &mut retries] {
-            while times.front().is_some_and(|at| at + BUDGET.window < now) {
+            while times.front().is_some_and(|at| at + BUDGET.window_ms < now) {
                 times.pop_front();
             }
         }
--- a/crates/coordination/tests/durations.rs
+++ b/crates/coordination/tests/durations.rs
@@ -26,8 +26,8 @@
 fn the_longest_recent_duration_is_expected(#[case] case: Case) {
     let mut durations = Durations::default();
     for (began, ended, complete) in case.ended {
-        let mark = durations.begin(Millis(*began));
-        durations.end(mark, *complete, Millis(*ended));
+        let timer = durations.begin(Millis(*began));
+        durations.end(timer, *complete, Millis(*ended));
     }
     case.in_progress.iter().for_each(|began| {
         durations.begin(Millis(*began));
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,6 +1,6 @@
 //! Lease on orders: the turns of two holders lie more than its length apart.
 
-use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record, Step};
+use crosslane_coordination::lease::{Lease, ORDER_WINDOW_MS, Record, Step};
 use crosslane_state::time::Millis;
 use rstest::rstest;
 
@@ -36,7 +36,7 @@
 #[case(Case {
     name: "another did not renew it for its length and the order window",
     holder: Some("other"),
-    seen: &[(4, 0), (4, LENGTH_MS + ORDER_WINDOW + 600)],
+    seen: &[(4, 0), (4, LENGTH_MS + ORDER_WINDOW_MS + 600)],
     step: Step::Append { end: 4 },
 })]
 fn next_step_by_the_records_seen(#[case] case: Case) {
@@ -73,7 +73,7 @@
                     && holder != *name
                 {
                     assert!(
-                        now >= at + ORDER_WINDOW + LENGTH_MS,
+                        now >= at + ORDER_WINDOW_MS + LENGTH_MS,
                         "{holder} at {at}, {name} at {now}"
                     );
                 }
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -225,7 +225,7 @@
             nodes: (0..self.nodes).map(|_| Node::new()).collect(),
             fault: self.fault,
             limit,
-            validity_ms: heartbeat::life(Interval::among(self.nodes).near),
+            validity_ms: heartbeat::ttl_ms(Interval::for_peers(self.nodes).near_ms),
             random: SmallRng::seed_from_u64(self.seed),
             first_owner: 0,
             queries: 0,
--- a/crates/coordination/tests/retry.rs
+++ b/crates/coordination/tests/retry.rs
@@ -3,7 +3,8 @@
 use crosslane_coordination::retry::{Budget, Denial, Failure};
 use rstest::rstest;
 
-const FAILURE: Failure = Failure { ran: true, repeatable: true, round: 0, left: 5_000, needs: 100 };
+const FAILURE: Failure =
+    Failure { may_have_run: true, repeatable: true, round: 0, left_ms: 5_000, needed_ms: 100 };
 
 struct Case {
     name: &'static str,
@@ -20,12 +21,12 @@
 })]
 #[case(Case {
     name: "may not be repeated, but did not run",
-    failure: Failure { repeatable: false, ran: false, ..FAILURE },
+    failure: Failure { repeatable: false, may_have_run: false, ..FAILURE },
     denial: None,
 })]
 #[case(Case {
     name: "could not finish in time",
-    failure: Failure { left: 90, ..FAILURE },
+    failure: Failure { left_ms: 90, ..FAILURE },
     denial: Some(Denial::Deadline),
 })]
 fn budget_decides_by_the_failure(#[case] case: Case) {
@@ -38,7 +39,7 @@
     let mut budget = Budget::new(10, 1);
     let mut allowed = 0;
     for _ in 0..1_000 {
-        budget.fresh();
+        budget.deposit();
         allowed += u32::from(budget.retry(FAILURE).is_ok());
     }
     assert!((100..=110).contains(&allowed), "{allowed}");
--- a/crates/coordination/tests/takeover.rs
+++ b/crates/coordination/tests/takeover.rs
@@ -92,7 +92,7 @@
         for own in (0..NODES).filter(|number| !silent.contains(number)) {
             let mut node = node(own);
             let alive = (0..NODES).filter(|number| !silent.contains(number));
-            alive.for_each(|number| node.detector.heard(Incarnation(number), now));
+            alive.for_each(|number| node.detector.record_contact(Incarnation(number), now));
             confirmed.iter().for_each(|number| node.detector.confirm(Incarnation(*number), now));
             taken_over.extend(node.taken_over(now).into_iter().map(|runner| runner.id));
             let has_dead_owner = |runner: &Runner| {
@@ -113,7 +113,7 @@
 fn only_attempts_of_dead_nodes_are_cancelled() {
     let mut node = node(0);
     let now = START + SUSPECT_MILLIS;
-    node.detector.heard(Incarnation(1), now);
+    node.detector.record_contact(Incarnation(1), now);
     node.detector.confirm(Incarnation(3), now);
     let attempt_of =
         |origin| attempt::Id { origin: Incarnation(origin), sequence: 1, retry_number: 0 };
--- a/crates/coordination/tests/pace.rs
+++ b/crates/coordination/tests/throttle.rs
@@ -1,6 +1,6 @@
 //! Rate limit on bytes, over time.
 
-use crosslane_coordination::pace::Pace;
+use crosslane_coordination::throttle::Throttle;
 use crosslane_state::time::Millis;
 use rstest::rstest;
 
@@ -19,11 +19,11 @@
 #[case(Case { name: "an overdraft is made up first", requested: &[0, 0, 0, 40, 60, 70], sent: 4 })]
 #[case(Case { name: "small steps of time are not lost", requested: &[0, 0, 0, 12, 24, 36, 48, 60], sent: 4 })]
 fn pieces_sent_within_the_rate(#[case] case: Case) {
-    let mut pace = Pace::new(1_000, 250);
+    let mut throttle = Throttle::new(1_000, 250);
     let mut sent = 0;
     for at in case.requested {
-        if pace.open(Millis(*at)) {
-            pace.spend(100);
+        if throttle.is_ready(Millis(*at)) {
+            throttle.consume(100);
             sent += 1;
         }
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -5,7 +5,7 @@
 //! a moment, both read; orders are protected by the lease in the store.
 
 use crate::mirror::Offsets;
-use crosslane_coordination::heartbeat::{self, FEW, Interval};
+use crosslane_coordination::heartbeat::{self, Interval, MAX_NEAR_PEERS};
 use crosslane_coordination::limits::Update as LimitWord;
 use crosslane_coordination::quota;
 use crosslane_coordination::suspicion;
@@ -190,7 +190,7 @@
 impl LastHeartbeat {
     /// Time at which the node counts as silent.
     fn expires_at(self) -> Millis {
-        self.at + heartbeat::life(self.interval_ms)
+        self.at + heartbeat::ttl_ms(self.interval_ms)
     }
 }
 
@@ -242,7 +242,7 @@
 
     /// Records a heartbeat.
     pub fn record_heartbeat(&mut self, ip: IpAddr, heartbeat: &Heartbeat, now: Millis) -> Receipt {
-        let interval_ms = heartbeat.interval.toward(heartbeat.domain == self.domain);
+        let interval_ms = heartbeat.interval.for_domain(heartbeat.domain == self.domain);
         let last_heartbeat = LastHeartbeat { at: now, interval_ms };
         let previous = self.members.get(&ip).and_then(|member| member.last_heartbeat);
         let silent = previous.is_none_or(|previous| previous.expires_at() <= now);
@@ -289,12 +289,12 @@
 
     /// Interval of this node's heartbeats.
     pub fn interval(&self) -> Interval {
-        Interval::among(self.members.len())
+        Interval::for_peers(self.members.len())
     }
 
     /// Whether the nodes of a failure domain choose among the same engines as this one.
     fn is_near(&self, domain: &str) -> bool {
-        self.members.len() <= FEW || domain == self.domain
+        self.members.len() <= MAX_NEAR_PEERS || domain == self.domain
     }
 
     fn live(&self, now: Millis) -> impl Iterator<Item = (&IpAddr, &Member)> {
@@ -378,7 +378,7 @@
             return rank < READERS_PER_DOMAIN;
         }
         let missing_since = *self.readers_missing_since.get_or_insert(now);
-        let step_ms = TAKEOVER_MS.max(self.interval().near);
+        let step_ms = TAKEOVER_MS.max(self.interval().near_ms);
         now.since(missing_since) >= step_ms * (rank - READERS_PER_DOMAIN + 1) as u64
     }
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -13,11 +13,11 @@
 use crosslane_coordination::admission::Timeouts;
 use crosslane_coordination::allowance::{Allowance, Budget};
 use crosslane_coordination::connections;
-use crosslane_coordination::durations::{Durations, Mark};
+use crosslane_coordination::durations::{Durations, Timer};
 use crosslane_coordination::limits::{self, Limits, Queues};
-use crosslane_coordination::pace::Pace;
 use crosslane_coordination::pool::Pool;
 use crosslane_coordination::quarantine::Quarantine;
+use crosslane_coordination::throttle::Throttle;
 use crosslane_platform::configuration;
 use crosslane_platform::settings::Settings;
 use crosslane_state::endpoint::{Endpoint, Stage, Tag};
@@ -125,7 +125,7 @@
     /// When the machine resumed from a suspension; nothing once this node is up to date again.
     resumed_at: Mutex<Option<Millis>>,
     /// Token bucket for the bytes of transfers to other nodes.
-    peer_bandwidth: Mutex<Pace>,
+    peer_bandwidth: Mutex<Throttle>,
     /// Deadlines that callers give, by route.
     patience: Mutex<HashMap<String, Timeouts>>,
     /// Durations of recent requests, by service.
@@ -148,7 +148,7 @@
 #[derive(Debug)]
 pub struct InFlight {
     service: String,
-    mark: Mark,
+    mark: Timer,
 }
 
 impl Node {
@@ -157,7 +157,7 @@
         let budget = Budget {
             ratio: settings.retry_ratio,
             slack: settings.retry_slack,
-            window: settings.retry_window,
+            window_ms: settings.retry_window,
         };
         Ok(Self {
             clock: Clock::start(),
@@ -189,7 +189,10 @@
             store_read_at: Mutex::default(),
             last_store_call_failed: AtomicBool::new(false),
             resumed_at: Mutex::default(),
-            peer_bandwidth: Mutex::new(Pace::new(settings.link / LINK_SHARE_DIVISOR, BURST_BYTES)),
+            peer_bandwidth: Mutex::new(Throttle::new(
+                settings.link / LINK_SHARE_DIVISOR,
+                BURST_BYTES,
+            )),
             patience: Mutex::default(),
             durations: Mutex::default(),
             quarantine: Mutex::new(Quarantine::new(Tag::of(&settings.vm))),
@@ -323,13 +326,13 @@
 
     /// Adds a request to the retry budget of a service.
     pub fn count_request(&self, service: &str) {
-        lock(&self.allowance).request(service, self.now());
+        lock(&self.allowance).record_request(service, self.now());
     }
 
     /// Takes a retry from the retry budget of a service; false if the budget is used up.
     pub fn take_retry(&self, service: &str) -> bool {
         let members = lock(&self.members).retry_budget_sharers(self.now());
-        lock(&self.allowance).take(service, members, self.now())
+        lock(&self.allowance).take_retry(service, members, self.now())
     }
 
     /// Estimate of the time that a caller spent on earlier attempts, in milliseconds, from the time
@@ -392,12 +395,12 @@
 
     /// Whether the bandwidth for transfers to other nodes allows another one.
     pub fn link_has_room(&self) -> bool {
-        lock(&self.peer_bandwidth).open(self.now())
+        lock(&self.peer_bandwidth).is_ready(self.now())
     }
 
     /// Counts bytes sent to another node.
     pub fn count_sent_to_peers(&self, bytes: usize) {
-        lock(&self.peer_bandwidth).spend(bytes);
+        lock(&self.peer_bandwidth).consume(bytes);
         self.meter.sent_bytes.inc_by(bytes as u64);
     }
 
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -3,7 +3,7 @@
 
 use crate::event;
 use crate::node::{Node, lock};
-use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
+use crosslane_coordination::lease::{Lease, ORDER_WINDOW_MS, Record as Held, Step};
 use crosslane_coordination::stages::{Change, Planner};
 use crosslane_platform::engine::{self, Order};
 use crosslane_platform::store::{Client, Error};
@@ -67,7 +67,7 @@
         Ok(Some((fence, changes))) => {
             info!(fence, orders = changes.len(); "{}", event::LEASE);
             for (service, change) in changes {
-                if node.now().since(began) < ORDER_WINDOW {
+                if node.now().since(began) < ORDER_WINDOW_MS {
                     plans.entry(service).or_default().record_own_order(change, node.now());
                     tokio::spawn(send_order(node.clone(), change, fence));
                 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -243,7 +243,7 @@
         send_rulings_digest(&node, &socket, &addresses).await;
         round += 1;
         // A change ends the wait early.
-        let interval = Duration::from_millis(lock(&node.members).interval().near);
+        let interval = Duration::from_millis(lock(&node.members).interval().near_ms);
         changed = timeout(interval, node.heartbeat_due.notified()).await.is_ok();
     }
 }
@@ -456,7 +456,7 @@
 /// begin and cease to announce limits all the time, so the digests of two nodes are rarely equal. A
 /// node also learns limits from answers of endpoints and from the owners.
 fn limits_ask_pause_ms(node: &Node) -> u64 {
-    ASK_PAUSE_MS.max(2 * lock(&node.members).interval().near)
+    ASK_PAUSE_MS.max(2 * lock(&node.members).interval().near_ms)
 }
 
 /// Whether enough time has passed to ask again.
--- a/crates/gateway/src/stall.rs
+++ b/crates/gateway/src/stall.rs
@@ -4,7 +4,7 @@
 use crate::exchange::Call;
 use crate::node::Node;
 use crosslane_coordination::health::Outcome;
-use crosslane_coordination::silence::Silence;
+use crosslane_coordination::stall::Stall;
 use crosslane_state::endpoint::Key;
 use log::info;
 use std::pin::pin;
@@ -33,12 +33,12 @@
 ) -> Result<T, S> {
     let Watch { node, call, at, intervals: (count, interval) } = watch;
     let mut attempt = pin!(attempt);
-    let mut stall = Silence::of(count);
+    let mut stall = Stall::after(count);
     let started_at = Instant::now();
     loop {
         match timeout(interval, attempt.as_mut()).await {
             Ok(done) => return Ok(done),
-            Err(_) if !stall.pause() => continue,
+            Err(_) if !stall.record_timeout() => continue,
             Err(_) => record_stall(node, call, at, started_at),
         }
         let found = tokio::select! {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -18,7 +18,7 @@
 use crosslane_coordination::admission::{self, Caller, Tier};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
-use crosslane_coordination::reader::{Kept, Reader};
+use crosslane_coordination::prefiller::{KvCache, Prefiller};
 use crosslane_platform::ask::Purpose;
 use crosslane_platform::{answer, engine};
 use crosslane_state::endpoint::{Key, Stage};
@@ -121,8 +121,8 @@
         shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
         Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
-            Reader::Decoding => None,
-            Reader::Prefilling => self.first_prefill(hits.prefill).await?,
+            Prefiller::Decoding => None,
+            Prefiller::Prefilling => self.first_prefill(hits.prefill).await?,
         };
         if !self.node.pool().is_usable(reservation.key) {
             // The engine announced its departure during the prefill.
@@ -177,22 +177,22 @@
         &self,
         hits: &Hits,
         until: Instant,
-    ) -> Result<(Reservation, Kept), Refusal> {
+    ) -> Result<(Reservation, KvCache), Refusal> {
         if let Some(cached_at) = hits.decode
             && let Some(reservation) = self.reserve_at(cached_at).await
         {
-            return Ok((reservation, Kept::Decoding));
+            return Ok((reservation, KvCache::Decoding));
         }
         let reservation = self.reserve(until, None).await?;
-        let kept = hits.prefill.map_or(Kept::Nowhere, |_| Kept::Prefilling);
+        let kept = hits.prefill.map_or(KvCache::Absent, |_| KvCache::Prefilling);
         Ok((reservation, kept))
     }
 
     /// Chooses which kind of engine prefills the prompt.
-    fn choose_reader(&self, kept: Kept) -> Reader {
+    fn choose_reader(&self, kept: KvCache) -> Prefiller {
         let queue = self.choose_prefill().map(|(_, load)| load);
         let engines = self.node.pool().prefill_engine_count(&self.service);
-        Reader::choose(kept, queue, engines)
+        Prefiller::choose(kept, queue, engines)
     }
 
     /// Prefill engine with the shortest queue, and its load.
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 mod node;
 
-use crosslane_coordination::heartbeat::{FAR_EVERY, FEW, Interval};
+use crosslane_coordination::heartbeat::{FAR_EVERY, Interval, MAX_NEAR_PEERS};
 use crosslane_coordination::pool::Pool;
 use crosslane_coordination::usage::Usage;
 use crosslane_gateway::members::{Heartbeat, Members};
@@ -144,16 +144,16 @@
     let settings =
         Settings { vm: "n0".into(), domain: domain(0, case.domains), ..node::settings() };
     let mut members = Members::new(&settings);
-    let interval = Interval::among(case.nodes - 1);
+    let interval = Interval::for_peers(case.nodes - 1);
     let mut nodes: Vec<Node> = (1..case.nodes)
         .map(|index| Node {
             name: format!("n{index}"),
             domain: domain(index, case.domains),
-            near: case.nodes - 1 <= FEW || index % case.domains == 0,
+            near: case.nodes - 1 <= MAX_NEAR_PEERS || index % case.domains == 0,
             streams: Vec::new(),
             updated: HashSet::new(),
             round: 0,
-            next_heartbeat: random.random_range(0..interval.near),
+            next_heartbeat: random.random_range(0..interval.near_ms),
             down_until: 0,
         })
         .collect();
@@ -162,7 +162,7 @@
         MEAN_USAGE * case.engines as f64 * ENGINE_TOKENS as f64 / f64::from(STREAM_TOKENS);
     let stream_probability = streams / mean * STEP_MS as f64 / (case.nodes - 1) as f64;
     // Time until every node has been heard often enough, at the start and after the crash.
-    let settle_ms = 3 * interval.far + STREAM_MS.end;
+    let settle_ms = 3 * interval.far_ms + STREAM_MS.end;
     let mut errors = Vec::new();
     for now in (0..END_MS).step_by(STEP_MS as usize) {
         for (index, node) in nodes.iter_mut().enumerate() {
@@ -180,7 +180,7 @@
                 pool.apply_usage_delta(Tag::of(&node.name), &update);
             }
             if now >= node.next_heartbeat {
-                node.next_heartbeat = now + interval.near;
+                node.next_heartbeat = now + interval.near_ms;
                 node.round += 1;
                 let sent = node.near || node.round.is_multiple_of(FAR_EVERY);
                 if sent && !lost {
@@ -256,13 +256,13 @@
             Members::new(&Settings { vm, domain, ip: ip(index), ..node::settings() })
         })
         .collect();
-    let interval = Interval::among(case.nodes - 1);
+    let interval = Interval::for_peers(case.nodes - 1);
     for node in &mut nodes {
         for other in 0..case.nodes {
             let heartbeat = Heartbeat {
                 vm: name(other),
                 domain: domain(other, case.domains),
-                interval: Interval { near: OUTAGE_MS * 2, far: OUTAGE_MS * 2 },
+                interval: Interval { near_ms: OUTAGE_MS * 2, far_ms: OUTAGE_MS * 2 },
                 active: true,
                 store_reachable: false,
                 store_recovered_ago_ms: None,
@@ -284,7 +284,7 @@
     println!(
         "{} nodes, heartbeats each {} ms: {} call the store",
         case.nodes,
-        interval.near,
+        interval.near_ms,
         callers.len()
     );
     assert!(
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -82,7 +82,7 @@
     Heartbeat {
         vm: other.vm.into(),
         domain: other.domain.into(),
-        interval: Interval { near: 250, far: 250 },
+        interval: Interval { near_ms: 250, far_ms: 250 },
         active: other.active,
         store_reachable: other.store_reachable,
         store_recovered_ago_ms: None,
@@ -214,7 +214,7 @@
         let ip = IpAddr::from([127, 0, 0, index + 2]);
         members.add(ip);
         if let Some(at) = case.heartbeat_at {
-            let interval = Interval { near: case.interval, far: case.interval };
+            let interval = Interval { near_ms: case.interval, far_ms: case.interval };
             let heartbeat = Heartbeat { interval, ..heartbeat(&OTHER) };
             members.record_heartbeat(ip, &heartbeat, Millis(at));
         }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -29,7 +29,7 @@
     Heartbeat {
         vm: "n1".into(),
         domain: node::DOMAIN.into(),
-        interval: Interval::among(1),
+        interval: Interval::for_peers(1),
         active: true,
         store_reachable: true,
         store_recovered_ago_ms: None,
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -146,11 +146,11 @@
     round: u16,
 ) -> Result<u64, Refusal> {
     let failure = retry::Failure {
-        ran,
+        may_have_run: ran,
         repeatable: job.verdict.repeatable,
         round,
-        left: job.deadline.since(shared.clock.now()),
-        needs: 0,
+        left_ms: job.deadline.since(shared.clock.now()),
+        needed_ms: 0,
     };
     let decide = move |node: &mut Node, now| {
         node.mark_failed(runner, now);
--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -7,7 +7,7 @@
 
 use crate::metrics::Counter;
 use crate::node::Shared;
-use crosslane_coordination::detector::Belief;
+use crosslane_coordination::detector::Liveness;
 use crosslane_coordination::node::Node;
 use crosslane_protocol::envelope::{self, Claims};
 use crosslane_protocol::peer::PeerClient;
@@ -216,7 +216,7 @@
     let domain = shared.settings.domain.clone();
     let candidates = move |node: &mut Node, now| {
         let mut peers: Vec<_> = node.neighbours().into_iter().cloned().collect();
-        peers.retain(|it| node.belief(it.incarnation, now) == Belief::Alive);
+        peers.retain(|it| node.belief(it.incarnation, now) == Liveness::Alive);
         peers.sort_by_key(|it| it.domain == domain);
         peers
     };
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -243,7 +243,7 @@
     progress: Progress,
 ) -> Result<Response<Reply>, Refusal> {
     let Some(raw) = asked.head.headers.get(KEY) else {
-        shared.keeper.visit(|node, _| node.budget.fresh()).await;
+        shared.keeper.visit(|node, _| node.budget.deposit()).await;
         let sequence = shared.sequence();
         let key = Key::generate(shared.me, sequence);
         let tape = Arc::new(Tape::default());
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -74,7 +74,7 @@
     let decide = move |node: &mut Node, now| {
         let step = decide(&mut flow, node, now);
         if step == Step::Run {
-            node.budget.fresh();
+            node.budget.deposit();
             let tape = if seen_through { Tape::seen_through() } else { Tape::default() };
             inner.tapes().insert(flow.key().clone(), Arc::new(tape));
         }
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -3,7 +3,7 @@
 use crate::follower;
 use crate::metrics::Counter;
 use crate::node::{Phase, Shared};
-use crosslane_coordination::detector::Belief;
+use crosslane_coordination::detector::Liveness;
 use crosslane_coordination::node::Node;
 use crosslane_coordination::record::{Leave, Record};
 use crosslane_protocol::peer::{Heartbeat, PeerClient, Snapshot};
@@ -56,7 +56,7 @@
 async fn wake(shared: &Arc<Shared>) {
     shared.metrics.count(Counter::Paused);
     warn!(event = "paused"; "this process stood still and catches up first");
-    shared.keeper.visit(|node, now| node.detector.restart(now)).await;
+    shared.keeper.visit(|node, now| node.detector.reset(now)).await;
     if !follower::catch_up(shared).await {
         snapshot(shared).await;
     }
@@ -132,7 +132,7 @@
         if let Some(newcomer) = beat.new_member {
             node.add_provisional(newcomer, now);
         }
-        node.detector.heard(beat.sender, now);
+        node.detector.record_contact(beat.sender, now);
         node.record_version(beat.sender, beat.version);
         for (id, report) in beat.loads {
             node.board.record_report(id, report, now);
@@ -173,7 +173,7 @@
         let witnesses = move |node: &mut Node, now| {
             let mut witnesses = neighbours(node);
             witnesses.retain(|it| {
-                it.incarnation != suspect && node.belief(it.incarnation, now) == Belief::Alive
+                it.incarnation != suspect && node.belief(it.incarnation, now) == Liveness::Alive
             });
             witnesses.truncate(WITNESSES);
             witnesses
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Counter;
 use crate::node::Shared;
-use crosslane_coordination::detector::Belief;
+use crosslane_coordination::detector::Liveness;
 use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::slots::{Decision, Request};
 use crosslane_protocol::peer::PeerClient;
@@ -119,7 +119,7 @@
 
 /// Resolves once a node is no longer believed alive.
 async fn silence(shared: &Shared, other: Incarnation) {
-    let alive = move |node: &mut Node, now| node.belief(other, now) == Belief::Alive;
+    let alive = move |node: &mut Node, now| node.belief(other, now) == Liveness::Alive;
     while shared.keeper.visit(alive).await {
         tokio::time::sleep(OWNER_LOOK).await;
     }
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -371,11 +371,11 @@
         };
         let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next_offset();
         let asked = retry::Failure {
-            ran: self.ran,
+            may_have_run: self.ran,
             repeatable: self.job.verdict.repeatable,
             round,
-            left: self.left(),
-            needs: self.prefill_millis(tokens),
+            left_ms: self.left(),
+            needed_ms: self.prefill_millis(tokens),
         };
         let decide = move |node: &mut Node, now| {
             node.mark_failed(runner, now);
