--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -42,7 +42,7 @@
         message: String,
     },
     /// It is too long.
-    #[display("program is {bytes} bytes long, the maximum is {MAX_PROGRAM_BYTES}")]
+    #[display("a policy has at most {MAX_PROGRAM_BYTES} bytes, this one {bytes}")]
     TooLong {
         /// Length of the program.
         bytes: usize,
@@ -145,7 +145,7 @@
     let Some(map) = result.try_cast::<Map>() else {
         return Err(Error::Result {
             field: "result",
-            expected: "a map with the fields class, repeatable and domains",
+            expected: "a map with class, repeatable and domains",
             found: found.to_owned(),
         });
     };
--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
     /// It is not JSON.
-    #[display("body is not JSON: {message}")]
+    #[display("the body is not JSON: {message}")]
     Json {
         /// The parser's error message.
         message: String,
@@ -206,7 +206,7 @@
 fn text(value: &Value, field: &'static str) -> Result<String, Error> {
     match value.get(field).and_then(Value::as_str) {
         Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => Err(Error::Field { field, expected: "a non-empty string" }),
+        _ => Err(Error::Field { field, expected: "a string that is not empty" }),
     }
 }
 
--- a/crates/state/src/request.rs
+++ b/crates/state/src/request.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// It is empty.
-    #[display("idempotency key is empty")]
+    #[display("an idempotency key has at least one character")]
     Empty,
     /// It has more than `MAX_KEY_BYTES` bytes.
-    #[display("idempotency key has more than {MAX_KEY_BYTES} bytes")]
+    #[display("an idempotency key has at most {MAX_KEY_BYTES} bytes")]
     TooLong,
     /// It has a character other than visible ASCII.
-    #[display("idempotency key has a character other than visible ASCII")]
+    #[display("an idempotency key has only visible ASCII characters")]
     InvalidCharacter,
 }
 
