--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -18,11 +18,11 @@
 
 fn pool(size: usize) -> (Table, Tracker) {
     let mut table = Table::default();
-    let mut board = Tracker::default();
+    let mut loads = Tracker::default();
     for index in 0..size {
         let name = format!("decode-{index}");
         let id = Id::of(&name);
-        board.record_report(id, Report { busy: index as u32 % 20, ..Report::default() }, Millis(0));
+        loads.record_report(id, Report { busy: index as u32 % 20, ..Report::default() }, Millis(0));
         table.insert(Runner {
             id,
             vm: name.clone(),
@@ -36,19 +36,19 @@
             fences: true,
         });
     }
-    (table, board)
+    (table, loads)
 }
 
 fn bench(bencher: Bencher<'_, '_>, mode: Mode, size: usize) {
-    let (table, mut board) = pool(size);
+    let (table, mut loads) = pool(size);
     let mut chooser = Chooser::new(mode, 1);
     bencher.bench_local(|| {
         let keys = table.pool(Role::Decode, "reply");
         let query =
-            Query { pool: keys, table: &table, board: &board, hold_ms: 100, now: Millis(1) };
+            Query { pool: keys, table: &table, loads: &loads, hold_ms: 100, now: Millis(1) };
         let chosen = chooser.choose(black_box(query), |_| true);
         if let Some(id) = chosen {
-            board.record_sent(id);
+            loads.record_sent(id);
         }
         chosen
     });
@@ -107,17 +107,17 @@
 #[divan::bench(args = SPREAD_MODES, consts = SIZES, sample_count = 1, sample_size = 1)]
 fn spread<const SIZE: usize>(mode: Mode) -> u32 {
     let (table, _) = pool(SIZE);
-    let mut board = Tracker::default();
+    let mut loads = Tracker::default();
     let mut chooser = Chooser::new(mode, 1);
     for _ in 0..SIZE * 10 {
         let keys = table.pool(Role::Decode, "reply");
         let query =
-            Query { pool: keys, table: &table, board: &board, hold_ms: 100, now: Millis(1) };
+            Query { pool: keys, table: &table, loads: &loads, hold_ms: 100, now: Millis(1) };
         if let Some(id) = chooser.choose(query, |_| true) {
-            board.record_sent(id);
+            loads.record_sent(id);
         }
     }
-    let depths = || table.iter().map(|runner| board.estimate(runner.id).outstanding());
+    let depths = || table.iter().map(|runner| loads.estimate(runner.id).outstanding());
     let spread = depths().max().unwrap_or(0) - depths().min().unwrap_or(0);
     println!("spread of {mode:?} over {SIZE} runners: {spread}");
     spread
--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -65,9 +65,9 @@
     pub resumes: bool,
 }
 
-/// Admission class of a caller: whether it can still be answered on time.
+/// Timeliness of a caller: whether it can still be answered on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tier {
+pub enum Timeliness {
     /// A first try.
     OnTime,
     /// A retry after a refusal.
@@ -76,7 +76,7 @@
     Resumed,
 }
 
-impl From<&Caller> for Tier {
+impl From<&Caller> for Timeliness {
     fn from(caller: &Caller) -> Self {
         let delayed = caller.spent_ms as f64 > caller.target_ms as f64 * LOST_TIME_SHARE;
         match (caller.resumes, delayed) {
@@ -87,7 +87,7 @@
     }
 }
 
-impl Tier {
+impl Timeliness {
     /// Utilization above which an engine is considered full for this class.
     pub fn max_utilization(self) -> f64 {
         match self {
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -91,7 +91,7 @@
     /// State folded from the log.
     pub state: fold::State,
     /// Load of runners.
-    pub board: Tracker,
+    pub loads: Tracker,
     /// Idempotency records of keyed requests.
     pub ledger: Ledger,
     /// Retry budget.
@@ -113,7 +113,7 @@
     pub fn new(options: Options) -> Self {
         Self {
             state: fold::State::default(),
-            board: Tracker::default(),
+            loads: Tracker::default(),
             ledger: Ledger::new(options.ledger),
             budget: Budget::new(options.retry_percent, options.seed),
             detector: Detector::new(options.suspect_millis),
@@ -239,8 +239,8 @@
         if departed != self.options.incarnation {
             self.detector.watch(departed, now);
         }
-        let alive = |member| member != departed && self.belief(member, now) == Liveness::Alive;
-        self.belief(departed, now) != Liveness::Alive
+        let alive = |member| member != departed && self.liveness(member, now) == Liveness::Alive;
+        self.liveness(departed, now) != Liveness::Alive
             && self.state.roster.owner(departed.0, alive) == Some(self.options.incarnation)
     }
 
@@ -269,7 +269,7 @@
     /// Engines with a dead owner that this node cleans up until the departure is in the log: those in
     /// whose ranking it is the first node that is alive and not leaving.
     pub fn taken_over(&self, now: Millis) -> Vec<Runner> {
-        let alive = |member| self.belief(member, now) == Liveness::Alive;
+        let alive = |member| self.liveness(member, now) == Liveness::Alive;
         let all_alive = self.state.roster.iter().all(|member| alive(member.incarnation));
         if all_alive {
             return Vec::new();
@@ -279,7 +279,7 @@
         let assigned_here = |runner: &&Runner| {
             let owner = self.owner(runner.id);
             runner.role != Role::Service
-                && owner.is_some_and(|owner| self.belief(owner, now) == Liveness::Dead)
+                && owner.is_some_and(|owner| self.liveness(owner, now) == Liveness::Dead)
                 && roster.owner(runner.id.0, eligible) == Some(self.options.incarnation)
         };
         self.options.table.iter().filter(assigned_here).cloned().collect()
@@ -289,7 +289,7 @@
     /// granted again only once the engine has an owner.
     pub fn orphans(&self, held: &[attempt::Id], now: Millis) -> Vec<attempt::Id> {
         let held: Vec<_> = held.iter().map(|attempt| (*attempt, false)).collect();
-        reconcile::plan(&held, |origin| self.belief(origin, now)).cancel
+        reconcile::plan(&held, |origin| self.liveness(origin, now)).cancel
     }
 
     /// Chooses a runner. Prefers those with a recent load report, then those that have not failed
@@ -298,8 +298,8 @@
         let Requirements { role, serves, domains, exclude: avoid, hold_ms: work } = requirements;
         let (gossiped, state) = (&self.gossiped_leaves, &self.state);
         let table = &self.options.table;
-        let board = &self.board;
-        let query = Query { pool: table.pool(role, serves), table, board, hold_ms: work, now };
+        let loads = &self.loads;
+        let query = Query { pool: table.pool(role, serves), table, loads, hold_ms: work, now };
         let allowed = |runner: &Runner| {
             !gossiped.contains_key(&runner.vm)
                 && !state.leaving.contains_key(&runner.vm)
@@ -308,20 +308,20 @@
         };
         let is_fresh = |runner: &Runner| {
             role == Role::Service
-                || now.since(board.estimate(runner.id).reported_at) < LOAD_REPORT_TTL_MS
+                || now.since(loads.estimate(runner.id).reported_at) < LOAD_REPORT_TTL_MS
         };
         let chosen = self
             .chooser
             .choose(query, |runner| allowed(runner) && is_fresh(runner))
             .or_else(|| self.chooser.choose(query, allowed))
             .or_else(|| self.chooser.choose(Query { now: Millis(u64::MAX), ..query }, allowed))?;
-        self.board.record_sent(chosen);
+        self.loads.record_sent(chosen);
         Some(chosen)
     }
 
     /// Excludes a failed runner from placement for a short time.
     pub fn mark_failed(&mut self, runner: Id, now: Millis) {
-        self.board.avoid(runner, now + FAILURE_COOLDOWN_MS);
+        self.loads.avoid(runner, now + FAILURE_COOLDOWN_MS);
     }
 
     /// Requests a slot of an owned runner; `None` means that the request is queued.
@@ -381,7 +381,7 @@
         allocator.set_responsive(!leaving);
         allocator.adopt(held, now);
         let holders = allocator.held_attempts(now);
-        Some(reconcile::plan(&holders, |origin| self.belief(origin, now)))
+        Some(reconcile::plan(&holders, |origin| self.liveness(origin, now)))
     }
 
     /// Records that an owned engine does not respond.
@@ -402,7 +402,7 @@
     }
 
     /// Liveness of a node as seen here; a member that is not watched counts as alive.
-    pub fn belief(&self, node: Incarnation, now: Millis) -> Liveness {
+    pub fn liveness(&self, node: Incarnation, now: Millis) -> Liveness {
         if node == self.options.incarnation {
             return Liveness::Alive;
         }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -35,7 +35,7 @@
     /// Their descriptions.
     pub table: &'a Table,
     /// Their loads.
-    pub board: &'a Tracker,
+    pub loads: &'a Tracker,
     /// Expected time that the request holds a slot, in milliseconds.
     pub hold_ms: u64,
     /// Time of the decision.
@@ -59,7 +59,7 @@
     /// A runner of the pool that is eligible and not shunned, if there is one.
     pub fn choose(&mut self, query: Query<'_>, eligible: impl Fn(&Runner) -> bool) -> Option<Id> {
         let usable = |runner: &Runner| {
-            eligible(runner) && query.board.estimate(runner.id).avoid_until <= query.now
+            eligible(runner) && query.loads.estimate(runner.id).avoid_until <= query.now
         };
         match self.mode {
             Mode::BestOfTwo => {
@@ -77,7 +77,7 @@
                 .iter()
                 .filter_map(|key| query.table.get(*key))
                 .filter(|runner| usable(runner))
-                .min_by_key(|runner| reported_load(query.board.estimate(runner.id)))
+                .min_by_key(|runner| reported_load(query.loads.estimate(runner.id)))
                 .map(|runner| runner.id),
         }
     }
@@ -115,7 +115,7 @@
 /// requests sent there since.
 fn less_loaded(query: Query<'_>, first: &Runner, second: &Runner) -> Id {
     let cost = |runner: &Runner| {
-        let entry = query.board.estimate(runner.id);
+        let entry = query.loads.estimate(runner.id);
         let slots = runner.slots.max(1);
         let queued_ms = u64::from(entry.sent_since_report) * query.hold_ms / u64::from(slots);
         let wait_ms = u64::from(entry.report.wait_millis) + queued_ms;
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -136,11 +136,11 @@
             .engine
             .eval_ast_with_scope(&mut scope, &self.ast)
             .map_err(|error| Error::Evaluation { message: error.to_string() })?;
-        verdict(result)
+        decision(result)
     }
 }
 
-fn verdict(result: Dynamic) -> Result<Decision, Error> {
+fn decision(result: Dynamic) -> Result<Decision, Error> {
     let found = result.type_name();
     let Some(map) = result.try_cast::<Map>() else {
         return Err(Error::Result {
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -36,8 +36,8 @@
     pub may_have_run: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Number of the attempt, from zero.
-    pub round: u16,
+    /// Retry number of the attempt, from zero.
+    pub retry_number: u16,
     /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
     /// Time that another attempt takes, in milliseconds.
@@ -69,8 +69,8 @@
         if failure.may_have_run && !failure.repeatable {
             return Err(Denial::NotRepeatable);
         }
-        let ceiling =
-            (MIN_BACKOFF_MS << u32::from(failure.round).min(MAX_DOUBLINGS)).min(MAX_BACKOFF_MS);
+        let ceiling = (MIN_BACKOFF_MS << u32::from(failure.retry_number).min(MAX_DOUBLINGS))
+            .min(MAX_BACKOFF_MS);
         let backoff = self.random.random_range(ceiling / 2..=ceiling);
         if backoff + failure.needed_ms > failure.left_ms {
             return Err(Denial::Deadline);
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: which callers count as late, and the longest wait and utilization limit of each class.
 
-use crosslane_coordination::admission::{self, Caller, Tier, Timeouts};
+use crosslane_coordination::admission::{self, Caller, Timeliness, Timeouts};
 use crosslane_coordination::prefiller::{KvCache, Prefiller};
 use crosslane_state::time::Millis;
 use rand::rngs::SmallRng;
@@ -13,46 +13,46 @@
 struct Case {
     name: &'static str,
     caller: Caller,
-    tier: Tier,
+    timeliness: Timeliness,
     wait: u64,
 }
 
 #[rstest]
-#[case(Case { name: "first try", caller: FIRST_TRY, tier: Tier::OnTime, wait: 450 })]
+#[case(Case { name: "first try", caller: FIRST_TRY, timeliness: Timeliness::OnTime, wait: 450 })]
 #[case(Case {
     name: "lost a packet",
     caller: Caller { spent_ms: 200, ..FIRST_TRY },
-    tier: Tier::OnTime,
+    timeliness: Timeliness::OnTime,
     wait: 450,
 })]
 #[case(Case {
     name: "retry after a refusal",
     caller: Caller { spent_ms: 2_300, ..FIRST_TRY },
-    tier: Tier::Late,
+    timeliness: Timeliness::Late,
     wait: 2_880,
 })]
 #[case(Case {
     name: "resumes a stream",
     caller: Caller { resumes: true, ..FIRST_TRY },
-    tier: Tier::Resumed,
+    timeliness: Timeliness::Resumed,
     wait: 2_880,
 })]
 #[case(Case {
     name: "late, with a long target",
     caller: Caller { target_ms: 5_000, max_silence_ms: 20_000, spent_ms: 6_000, resumes: false },
-    tier: Tier::Late,
+    timeliness: Timeliness::Late,
     wait: 16_000,
 })]
-fn tier(#[case] case: Case) {
-    let tier = Tier::from(&case.caller);
-    assert_eq!(tier, case.tier, "{}", case.name);
-    assert_eq!(tier.max_wait_ms(&case.caller), case.wait, "{}", case.name);
+fn timeliness(#[case] case: Case) {
+    let timeliness = Timeliness::from(&case.caller);
+    assert_eq!(timeliness, case.timeliness, "{}", case.name);
+    assert_eq!(timeliness.max_wait_ms(&case.caller), case.wait, "{}", case.name);
 }
 
 #[rstest]
 fn late_callers_have_the_lowest_utilization_limit() {
-    assert!(Tier::Late.max_utilization() < Tier::Resumed.max_utilization());
-    assert!(Tier::Resumed.max_utilization() < Tier::OnTime.max_utilization());
+    assert!(Timeliness::Late.max_utilization() < Timeliness::Resumed.max_utilization());
+    assert!(Timeliness::Resumed.max_utilization() < Timeliness::OnTime.max_utilization());
 }
 
 #[rstest]
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -139,7 +139,7 @@
             self.nodes[at].misses.remove(&owner);
             match self.rule(owner, now) {
                 Decision::Undecided => {}
-                verdict => return verdict,
+                decision => return decision,
             }
         }
         let ask = self.charge(limits::backup_limit(self.limit));
@@ -178,7 +178,7 @@
                     wait: queues.join(ENDPOINT, limit.units_per_second, wait, Millis(now)),
                 }
             }
-            verdict => verdict,
+            decision => decision,
         }
     }
 
--- a/crates/coordination/tests/program.rs
+++ b/crates/coordination/tests/program.rs
@@ -11,28 +11,28 @@
 struct Case {
     program: &'static str,
     input: Input,
-    verdict: Decision,
+    decision: Decision,
 }
 
 #[rstest]
 #[case(Case {
     program: DEFAULT,
     input: input("POST", "/v1/completions"),
-    verdict: Decision { class: Class::Patient, repeatable: true, domains: vec![] },
+    decision: Decision { class: Class::Patient, repeatable: true, domains: vec![] },
 })]
 #[case(Case {
     program: DEFAULT,
     input: input("POST", "/booking/confirm"),
-    verdict: Decision { class: Class::Quick, repeatable: false, domains: vec![] },
+    decision: Decision { class: Class::Quick, repeatable: false, domains: vec![] },
 })]
 #[case(Case {
     program: "#{ class: if prompt_tokens > 1000 { `patient` } else { `quick` }, repeatable: true, \
               domains: if organisation == `dept` { [`Aarau`] } else { [] } }",
     input: Input { organisation: "dept".into(), prompt_tokens: 2_000, ..Input::default() },
-    verdict: Decision { class: Class::Patient, repeatable: true, domains: vec!["Aarau".into()] },
+    decision: Decision { class: Class::Patient, repeatable: true, domains: vec!["Aarau".into()] },
 })]
-fn verdict(#[case] case: Case) {
-    assert_eq!(Program::compile(case.program).unwrap().evaluate(&case.input), Ok(case.verdict));
+fn decision(#[case] case: Case) {
+    assert_eq!(Program::compile(case.program).unwrap().evaluate(&case.input), Ok(case.decision));
 }
 
 #[rstest]
--- a/crates/coordination/tests/quota.rs
+++ b/crates/coordination/tests/quota.rs
@@ -116,7 +116,7 @@
                 }
                 match self.nodes[owner].owned.decide(ask, share, Millis(now)) {
                     Decision::Undecided => {}
-                    verdict => return verdict == Decision::Granted,
+                    decision => return decision == Decision::Granted,
                 }
             }
         }
--- a/crates/coordination/tests/replay/mod.rs
+++ b/crates/coordination/tests/replay/mod.rs
@@ -6,7 +6,7 @@
 //! engines of 41,000 tokens, streams with a prompt of 3,200 tokens and 640 generated tokens at
 //! 5.4 ms each.
 
-use crosslane_coordination::admission::{Caller, Tier};
+use crosslane_coordination::admission::{Caller, Timeliness};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -46,8 +46,11 @@
 
 /// The rule under test.
 pub fn admission(caller: &Caller) -> Terms {
-    let tier = Tier::from(caller);
-    Terms { max_utilization: tier.max_utilization(), max_wait_ms: tier.max_wait_ms(caller) }
+    let timeliness = Timeliness::from(caller);
+    Terms {
+        max_utilization: timeliness.max_utilization(),
+        max_wait_ms: timeliness.max_wait_ms(caller),
+    }
 }
 
 /// A load.
--- a/crates/coordination/tests/retry.rs
+++ b/crates/coordination/tests/retry.rs
@@ -3,8 +3,13 @@
 use crosslane_coordination::retry::{Budget, Denial, Failure};
 use rstest::rstest;
 
-const FAILURE: Failure =
-    Failure { may_have_run: true, repeatable: true, round: 0, left_ms: 5_000, needed_ms: 100 };
+const FAILURE: Failure = Failure {
+    may_have_run: true,
+    repeatable: true,
+    retry_number: 0,
+    left_ms: 5_000,
+    needed_ms: 100,
+};
 
 struct Case {
     name: &'static str,
@@ -50,7 +55,7 @@
 fn the_backoff_grows_and_is_reproducible() {
     let backoffs = |seed| {
         let mut budget = Budget::new(100, seed);
-        let backoff = |round| budget.retry(Failure { round, ..FAILURE }).unwrap();
+        let backoff = |retry_number| budget.retry(Failure { retry_number, ..FAILURE }).unwrap();
         (0..6).map(backoff).collect::<Vec<_>>()
     };
     assert_eq!(backoffs(7), backoffs(7));
--- a/crates/coordination/tests/splice.rs
+++ b/crates/coordination/tests/splice.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn attempt(round: u16) -> Id {
-    Id { origin: Incarnation(1), sequence: 1, retry_number: round }
+fn attempt(retry_number: u16) -> Id {
+    Id { origin: Incarnation(1), sequence: 1, retry_number }
 }
 
 /// Fixed seed, so that every run plays the same histories.
@@ -28,18 +28,20 @@
         let mut splice = Splice::new(attempt(0));
         let mut current = 0;
         let mut taken = Vec::new();
-        for (index, (round, offset)) in pieces.into_iter().enumerate() {
+        for (index, (retry_number, offset)) in pieces.into_iter().enumerate() {
             if index == switch {
                 current = 1;
                 splice.switch_attempt(attempt(1));
             }
-            match splice.accept(attempt(round), offset) {
+            match splice.accept(attempt(retry_number), offset) {
                 Action::Forward => {
-                    prop_assert_eq!(round, current);
+                    prop_assert_eq!(retry_number, current);
                     taken.push(offset);
                 }
                 Action::Gap => prop_assert!(offset > splice.next_offset()),
-                Action::Drop => prop_assert!(round != current || offset < splice.next_offset()),
+                Action::Drop => {
+                    prop_assert!(retry_number != current || offset < splice.next_offset());
+                }
             }
         }
         let expected: Vec<u64> = (0..taken.len() as u64).collect();
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -10,7 +10,7 @@
 use crate::refusal::{Reason, Refusal};
 use crate::reservation::Reservation;
 use crate::stream::{Generation, retry_later};
-use crosslane_coordination::admission::Tier;
+use crosslane_coordination::admission::Timeliness;
 use crosslane_coordination::health::Outcome;
 use crosslane_platform::engine;
 use crosslane_state::endpoint::Key;
@@ -103,7 +103,7 @@
         let tokens = self.expected_tokens();
         let occupancy = self.node.pool().occupancy(&self.service, self.engine.kv_capacity_tokens);
         let request = self.call.metadata.id.as_str();
-        let late = self.timeliness != Tier::OnTime;
+        let late = self.timeliness != Timeliness::OnTime;
         let outcome = "no_room";
         info!(request, late, tokens, rounds, bound, occupancy, outcome; "{}", event::RESERVE);
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,7 +15,7 @@
 use crate::reservation::{Handle, Reservation};
 use crate::shutdown;
 use crate::stall::{self, Watch};
-use crosslane_coordination::admission::{self, Caller, Tier};
+use crosslane_coordination::admission::{self, Caller, Timeliness};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
 use crosslane_coordination::prefiller::{KvCache, Prefiller};
@@ -66,7 +66,7 @@
     /// What admission control knows of the caller.
     pub caller: Caller,
     /// Whether the response can still be on time.
-    pub timeliness: Tier,
+    pub timeliness: Timeliness,
     /// Attempts that reached an endpoint.
     pub attempts: u32,
     /// Prefill engine that prefilled the prompt and may still cache it.
@@ -95,7 +95,7 @@
                 .map_or(0, |patience| node.earlier_attempts_ms(&route.name, patience)),
             resumes: call.metadata.last_event.is_some(),
         };
-        let timeliness = Tier::from(&caller);
+        let timeliness = Timeliness::from(&caller);
         let (attempts, prefilled_at, failover) = (0, None, None);
         Self {
             node,
@@ -165,7 +165,7 @@
     /// day on eleven nodes, each at 47 engines, without a hit).
     async fn cache_hits(&self) -> Hits {
         match &self.call.metadata.part {
-            Some(part) if self.timeliness == Tier::Resumed => {
+            Some(part) if self.timeliness == Timeliness::Resumed => {
                 cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
             _ => Hits::default(),
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -34,7 +34,7 @@
     /// State folded from the control stream of the log.
     pub state: fold::State,
     /// Nodes whose join is not in the log.
-    pub unlogged_members: Vec<Member>,
+    pub provisional_members: Vec<Member>,
 }
 
 /// Idempotency record that a stopping node hands over to the next owner of the key.
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -100,7 +100,7 @@
         let result = once(shared, job, &runner).await;
         shared.flights.end(attempt);
         let id = runner.id;
-        shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
+        shared.keeper.visit(move |node, _| node.loads.undo_sent(id)).await;
         let error = match result {
             Ok(response) => return answer(shared, response, tape),
             Err(error) => error,
@@ -148,7 +148,7 @@
     let failure = retry::Failure {
         may_have_run: ran,
         repeatable: job.verdict.repeatable,
-        round,
+        retry_number: round,
         left_ms: job.deadline.since(shared.clock.now()),
         needed_ms: 0,
     };
--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -216,7 +216,7 @@
     let domain = shared.settings.domain.clone();
     let candidates = move |node: &mut Node, now| {
         let mut peers: Vec<_> = node.neighbours().into_iter().cloned().collect();
-        peers.retain(|it| node.belief(it.incarnation, now) == Liveness::Alive);
+        peers.retain(|it| node.liveness(it.incarnation, now) == Liveness::Alive);
         peers.sort_by_key(|it| it.domain == domain);
         peers
     };
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -63,7 +63,7 @@
                     "vm": it.vm,
                     "incarnation": it.incarnation.to_string(),
                     "domain": it.domain,
-                    "belief": format!("{:?}", node.belief(it.incarnation, now)),
+                    "belief": format!("{:?}", node.liveness(it.incarnation, now)),
                 })
             })
             .collect();
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -73,7 +73,7 @@
             continue;
         }
         let call = |client: PeerClient, context| async move { client.snapshot(context).await };
-        let Ok(Snapshot { state, unlogged_members: guests }) =
+        let Ok(Snapshot { state, provisional_members: guests }) =
             shared.peers.call(address, limit, call).await
         else {
             continue;
@@ -113,7 +113,7 @@
         .visit(move |node, now| {
             let loads = node.load_reports(now);
             for (id, report) in &loads {
-                node.board.record_report(*id, *report, now);
+                node.loads.record_report(*id, *report, now);
             }
             Heartbeat {
                 sender: from,
@@ -135,7 +135,7 @@
         node.detector.record_contact(beat.sender, now);
         node.record_version(beat.sender, beat.version);
         for (id, report) in beat.loads {
-            node.board.record_report(id, report, now);
+            node.loads.record_report(id, report, now);
         }
         beat.leaves.into_iter().filter(|it| node.add_leave(it.clone())).count()
     };
@@ -173,7 +173,7 @@
         let witnesses = move |node: &mut Node, now| {
             let mut witnesses = neighbours(node);
             witnesses.retain(|it| {
-                it.incarnation != suspect && node.belief(it.incarnation, now) == Liveness::Alive
+                it.incarnation != suspect && node.liveness(it.incarnation, now) == Liveness::Alive
             });
             witnesses.truncate(WITNESSES);
             witnesses
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -52,7 +52,7 @@
             Err(retry_after) => {
                 refused = Some(refused.map_or(retry_after, |it| it.min(retry_after)));
                 let id = runner.id;
-                shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
+                shared.keeper.visit(move |node, _| node.loads.undo_sent(id)).await;
                 avoid.push(id);
             }
         }
@@ -91,7 +91,7 @@
     };
     match grant {
         Decision::Granted { start_in_ms: start_in, wait_ms: wait } => {
-            shared.keeper.visit(move |node, _| node.board.record_wait(runner, wait)).await;
+            shared.keeper.visit(move |node, _| node.loads.record_wait(runner, wait)).await;
             Ok((owner, start_in))
         }
         Decision::Refused { retry_after } => Err(retry_after),
@@ -119,7 +119,7 @@
 
 /// Resolves once a node is no longer believed alive.
 async fn silence(shared: &Shared, other: Incarnation) {
-    let alive = move |node: &mut Node, now| node.belief(other, now) == Liveness::Alive;
+    let alive = move |node: &mut Node, now| node.liveness(other, now) == Liveness::Alive;
     while shared.keeper.visit(alive).await {
         tokio::time::sleep(OWNER_LOOK).await;
     }
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -92,7 +92,7 @@
     async fn snapshot(self, _: Context) -> Snapshot {
         let known = |node: &mut Node, _| Snapshot {
             state: node.state.clone(),
-            unlogged_members: node.provisional_members(),
+            provisional_members: node.provisional_members(),
         };
         self.shared.keeper.visit(known).await
     }
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -373,7 +373,7 @@
         let asked = retry::Failure {
             may_have_run: self.ran,
             repeatable: self.job.verdict.repeatable,
-            round,
+            retry_number: round,
             left_ms: self.left(),
             needed_ms: self.prefill_millis(tokens),
         };
