--- a/crates/coordination/src/fold.rs
+++ b/crates/coordination/src/control_log.rs
@@ -1,6 +1,6 @@
 //! Replicated state machine over the control stream: members, leaving VMs and policy.
 //!
-//! The order of the log decides every conflict. All nodes fold the same records in the same order
+//! The order of the log decides every conflict. All nodes replay the same records in the same order
 //! and so reach the same state. Duplicate records have no effect.
 
 use crate::record::{Leave, Record};
@@ -34,23 +34,23 @@
     Withdrawn,
 }
 
-/// Why a record can't be folded.
+/// Why a record can't be applied.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// Records between the last folded one and this one are missing.
+    /// Records between the last applied one and this one are missing.
     #[display("records from {expected} to {found} are missing")]
     Gap {
-        /// Offset of the next record to fold.
+        /// Offset of the next record to apply.
         expected: u64,
         /// Offset of the record found.
         found: u64,
     },
 }
 
-/// State folded from the control stream.
+/// State replayed from the control stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Offset of the next record to fold.
+    /// Offset of the next record to apply.
     #[serde(rename = "next")]
     pub next_offset: u64,
     /// Member nodes.
@@ -73,8 +73,8 @@
 }
 
 impl State {
-    /// Folds the record at an offset. A record that was already folded has no effect.
-    pub fn fold(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
+    /// Applies the record at an offset. A record that was already applied has no effect.
+    pub fn replay(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
         if offset < self.next_offset {
             return Ok(());
         }
@@ -128,7 +128,7 @@
         self.roster.iter().map(|member| member.domain.clone()).collect()
     }
 
-    /// Replaces the state by that of a checkpoint after a gap; folding continues at its next offset.
+    /// Replaces the state by that of a checkpoint after a gap; replay continues at its next offset.
     fn restore(&mut self, offset: u64, record: Option<Record>) -> Result<(), Error> {
         match record {
             Some(Record::Checkpoint { state }) if state.next_offset > self.next_offset => {
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,8 +1,8 @@
 //! Facade over all decisions of one node.
 
 use crate::claims::{Claims, Doubt};
+use crate::control_log;
 use crate::detector::{Detector, Liveness};
-use crate::fold;
 use crate::ledger::{self, Ledger};
 use crate::placement::{Chooser, Mode, Query};
 use crate::reconcile::{self, Plan};
@@ -88,8 +88,8 @@
 #[derive(Debug)]
 pub struct Node {
     options: Options,
-    /// State folded from the log.
-    pub state: fold::State,
+    /// State replayed from the log.
+    pub state: control_log::State,
     /// Load of runners.
     pub loads: Tracker,
     /// Idempotency records of keyed requests.
@@ -112,7 +112,7 @@
     /// A node with empty state.
     pub fn new(options: Options) -> Self {
         Self {
-            state: fold::State::default(),
+            state: control_log::State::default(),
             loads: Tracker::default(),
             ledger: Ledger::new(options.ledger),
             budget: Budget::new(options.retry_percent, options.seed),
@@ -133,7 +133,7 @@
         &self.options
     }
 
-    /// Updates everything derived from the folded log.
+    /// Updates everything derived from the replayed log.
     pub fn refresh(&mut self, now: Millis) {
         let members: Vec<_> = self.state.roster.iter().map(|member| member.incarnation).collect();
         let gone = |incarnation: &Incarnation| self.state.roster.get(*incarnation).is_none();
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -65,9 +65,9 @@
         /// The failure domain.
         domain: String,
     },
-    /// Snapshot of the folded state, written before the log truncates older records.
+    /// Snapshot of the replayed state, written before the log truncates older records.
     Checkpoint {
         /// State at this offset.
-        state: Box<crate::fold::State>,
+        state: Box<crate::control_log::State>,
     },
 }
--- a/crates/coordination/tests/fold.rs
+++ b/crates/coordination/tests/control_log.rs
@@ -1,6 +1,6 @@
-//! Fold of the control stream: all nodes reach the same state, despite duplicates and gaps.
+//! Replay of the control stream: all nodes reach the same state, despite duplicates and gaps.
 
-use crosslane_coordination::fold::{Error, Outcome, State};
+use crosslane_coordination::control_log::{Error, Outcome, State};
 use crosslane_coordination::record::{Leave, Record};
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::member::Member;
@@ -41,10 +41,10 @@
     Record::Leave { leave: Leave { id: id.to_owned(), vm: vm.to_owned(), node: None } }
 }
 
-fn folded(records: &[Record]) -> State {
+fn replayed(records: &[Record]) -> State {
     let mut state = State::default();
     for (offset, record) in records.iter().enumerate() {
-        state.fold(offset as u64, Some(record.clone())).unwrap();
+        state.replay(offset as u64, Some(record.clone())).unwrap();
     }
     state
 }
@@ -126,7 +126,7 @@
     outcomes: vec![],
 })]
 fn policy(#[case] case: Case) {
-    let state = folded(&case.records);
+    let state = replayed(&case.records);
     assert_eq!(state.version(), Version(case.version), "{}", case.name);
     assert_eq!(state.history.back().unwrap().accepted, case.accepted, "{}", case.name);
     for (id, outcome) in case.outcomes {
@@ -136,39 +136,39 @@
 
 #[rstest]
 fn a_new_incarnation_replaces_the_old_one_and_is_not_leaving() {
-    let state = folded(&[join(0, 1), leave("l", "entry-0"), join(0, 5)]);
+    let state = replayed(&[join(0, 1), leave("l", "entry-0"), join(0, 5)]);
     assert_eq!(state.roster.len(), 1);
     assert!(state.roster.get(Incarnation(5)).is_some());
     assert!(state.leaving.is_empty());
     // A duplicate of the announcement applies only to the old incarnation.
     let duplicated =
-        folded(&[join(0, 1), leave("l", "entry-0"), join(0, 5), leave("l", "entry-0")]);
+        replayed(&[join(0, 1), leave("l", "entry-0"), join(0, 5), leave("l", "entry-0")]);
     assert!(duplicated.leaving.is_empty());
 }
 
 #[rstest]
 fn an_older_incarnation_does_not_replace_a_newer_one() {
-    let state = folded(&[join(0, 5), join(0, 1)]);
+    let state = replayed(&[join(0, 5), join(0, 1)]);
     assert!(state.roster.get(Incarnation(5)).is_some());
 }
 
 #[rstest]
 fn a_checkpoint_replaces_truncated_records() {
     let before = [join(0, 1), publish("a", 0), confirm(1, "Aarau")];
-    let whole = folded(&before);
+    let whole = replayed(&before);
     let checkpoint = Record::Checkpoint { state: Box::new(whole.clone()) };
     let mut restored = State::default();
     assert_eq!(
-        restored.fold(4, Some(publish("b", 1))),
+        restored.replay(4, Some(publish("b", 1))),
         Err(Error::Gap { expected: 0, found: 4 }),
         "a gap is an error"
     );
-    restored.fold(3, Some(checkpoint.clone())).unwrap();
-    assert_eq!(restored.next_offset, 3, "folding continues at the offset of the checkpoint");
+    restored.replay(3, Some(checkpoint.clone())).unwrap();
+    assert_eq!(restored.next_offset, 3, "replay continues at the offset of the checkpoint");
     let mut other = whole;
     for state in [&mut restored, &mut other] {
-        state.fold(3, Some(checkpoint.clone())).unwrap();
-        state.fold(4, Some(publish("b", 1))).unwrap();
+        state.replay(3, Some(checkpoint.clone())).unwrap();
+        state.replay(4, Some(publish("b", 1))).unwrap();
     }
     assert_eq!(restored, other);
 }
@@ -209,7 +209,7 @@
         let mut version = Version(0);
         let mut accepted = Version(0);
         for (offset, record) in records.iter().enumerate() {
-            first.fold(offset as u64, record.clone()).unwrap();
+            first.replay(offset as u64, record.clone()).unwrap();
             prop_assert!(first.version() >= version, "versions never decrease");
             version = first.version();
             for publication in &first.history {
@@ -226,9 +226,9 @@
                 second = serde_json::from_str(&text).unwrap();
             }
             for repeat in repeats.iter().filter(|earlier| **earlier < offset) {
-                second.fold(*repeat as u64, records[*repeat].clone()).unwrap();
+                second.replay(*repeat as u64, records[*repeat].clone()).unwrap();
             }
-            second.fold(offset as u64, record.clone()).unwrap();
+            second.replay(offset as u64, record.clone()).unwrap();
         }
         prop_assert_eq!(first, second);
     }
--- a/crates/coordination/tests/keyed.rs
+++ b/crates/coordination/tests/keyed.rs
@@ -139,14 +139,14 @@
         self.read(number);
     }
 
-    /// Makes a node fold the whole log, including the claims.
+    /// Makes a node replay the whole log, including the claims.
     fn read(&mut self, number: u64) {
         let Some(node) = self.nodes.get_mut(&number) else {
             return;
         };
         let read = self.claims_read.entry(number).or_default();
         for (offset, record) in self.log.iter().enumerate() {
-            node.state.fold(offset as u64, Some(record.clone())).unwrap();
+            node.state.replay(offset as u64, Some(record.clone())).unwrap();
         }
         node.refresh(self.now);
         for (key, by) in &self.claims[*read..] {
--- a/crates/crosslane/src/policy.rs
+++ b/crates/crosslane/src/policy.rs
@@ -4,7 +4,7 @@
 use crate::config;
 use crate::error::Error;
 use clap::ArgMatches;
-use crosslane_coordination::fold::{Outcome, State};
+use crosslane_coordination::control_log::{Outcome, State};
 use crosslane_coordination::program::{Input, Program};
 use crosslane_coordination::record::Record;
 use crosslane_protocol::envelope::{self, Raw};
@@ -84,7 +84,7 @@
                 Read::Page(page) => {
                     for (place, text) in page.records.iter().enumerate() {
                         let record = Record::try_from(Raw(text)).ok();
-                        let _ = self.state.fold(page.from + place as u64, record);
+                        let _ = self.state.replay(page.from + place as u64, record);
                     }
                     let end = page.from + page.records.len() as u64;
                     let bridged = (page.first..end).contains(&self.state.next_offset);
--- a/crates/crosslane/tests/race.rs
+++ b/crates/crosslane/tests/race.rs
@@ -1,7 +1,7 @@
 //! Operators race each other, while nodes die and the log loses replies.
 
 use crosslane::policy::Journal;
-use crosslane_coordination::fold::Outcome;
+use crosslane_coordination::control_log::Outcome;
 use crosslane_coordination::record::Record;
 use crosslane_harness::site::{Binaries, Plan, Site};
 use crosslane_state::policy::Version;
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -17,7 +17,7 @@
         /// The parser's error message.
         message: String,
     },
-    /// It was written by a newer release; the log can't be folded beyond it.
+    /// It was written by a newer release; the log can't be replayed beyond it.
     #[display("unsupported record format {format}; this release reads up to {FORMAT}")]
     NewerFormat {
         /// Format number found.
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,6 +1,6 @@
 //! Control messages between nodes.
 
-use crosslane_coordination::fold;
+use crosslane_coordination::control_log;
 use crosslane_coordination::record::Leave;
 use crosslane_coordination::slots::{Decision, Request};
 use crosslane_state::answer::Answer;
@@ -31,8 +31,8 @@
 /// State for a node that starts while the log is unavailable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// State folded from the control stream of the log.
-    pub state: fold::State,
+    /// State replayed from the control stream of the log.
+    pub state: control_log::State,
     /// Nodes whose join is not in the log.
     pub provisional_members: Vec<Member>,
 }
--- a/crates/protocol/tests/envelope.rs
+++ b/crates/protocol/tests/envelope.rs
@@ -1,6 +1,6 @@
 //! Stored log records: what is encoded can be decoded; malformed records and newer formats are told apart.
 
-use crosslane_coordination::fold::State;
+use crosslane_coordination::control_log::State;
 use crosslane_coordination::record::{Leave, Record};
 use crosslane_protocol::envelope::{Error, Raw, encode};
 use crosslane_state::incarnation::Incarnation;
@@ -41,7 +41,7 @@
     let records = [Record::Join { member }, publish, Record::Leave { leave }, depart];
     let mut state = State::default();
     for (offset, record) in records.into_iter().enumerate() {
-        state.fold(offset as u64, Some(record)).unwrap();
+        state.replay(offset as u64, Some(record)).unwrap();
     }
     let checkpoint = Record::Checkpoint { state: Box::new(state) };
     assert_eq!(decode(&encode(&checkpoint)), Ok(checkpoint));
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -125,7 +125,7 @@
     let next = page.from + page.records.len() as u64;
     let apply = move |node: &mut Node, now| {
         for (offset, record) in records {
-            let _ = node.state.fold(offset, record);
+            let _ = node.state.replay(offset, record);
         }
         node.refresh(now);
     };
