--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -42,7 +42,7 @@
         message: String,
     },
     /// It is too long.
-    #[display("program is {bytes} bytes long, the maximum is {MAX_PROGRAM_BYTES}")]
+    #[display("a policy has at most {MAX_PROGRAM_BYTES} bytes, this one {bytes}")]
     TooLong {
         /// Length of the program.
         bytes: usize,
@@ -136,16 +136,16 @@
             .engine
             .eval_ast_with_scope(&mut scope, &self.ast)
             .map_err(|error| Error::Evaluation { message: error.to_string() })?;
-        verdict(result)
+        decision(result)
     }
 }
 
-fn verdict(result: Dynamic) -> Result<Decision, Error> {
+fn decision(result: Dynamic) -> Result<Decision, Error> {
     let found = result.type_name();
     let Some(map) = result.try_cast::<Map>() else {
         return Err(Error::Result {
             field: "result",
-            expected: "a map with the fields class, repeatable and domains",
+            expected: "a map with class, repeatable and domains",
             found: found.to_owned(),
         });
     };
--- a/crates/coordination/tests/limits_fleet.rs
+++ b/crates/coordination/tests/limits_fleet.rs
@@ -139,7 +139,7 @@
             self.nodes[at].misses.remove(&owner);
             match self.rule(owner, now) {
                 Decision::Undecided => {}
-                verdict => return verdict,
+                decision => return decision,
             }
         }
         let ask = self.charge(limits::backup_limit(self.limit));
@@ -178,7 +178,7 @@
                     wait: queues.join(ENDPOINT, limit.units_per_second, wait, Millis(now)),
                 }
             }
-            verdict => verdict,
+            decision => decision,
         }
     }
 
@@ -225,7 +225,7 @@
             nodes: (0..self.nodes).map(|_| Node::new()).collect(),
             fault: self.fault,
             limit,
-            validity_ms: heartbeat::life(Interval::among(self.nodes).near),
+            validity_ms: heartbeat::ttl_ms(Interval::for_peers(self.nodes).near_ms),
             random: SmallRng::seed_from_u64(self.seed),
             first_owner: 0,
             queries: 0,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,10 +15,10 @@
 use crate::reservation::{Handle, Reservation};
 use crate::shutdown;
 use crate::stall::{self, Watch};
-use crosslane_coordination::admission::{self, Caller, Tier};
+use crosslane_coordination::admission::{self, Caller, Timeliness};
 use crosslane_coordination::choice::{Query, Room};
 use crosslane_coordination::health::Outcome;
-use crosslane_coordination::reader::{Kept, Reader};
+use crosslane_coordination::prefiller::{KvCache, Prefiller};
 use crosslane_platform::request::Purpose;
 use crosslane_platform::{engine, response};
 use crosslane_state::endpoint::{Key, Stage};
@@ -66,7 +66,7 @@
     /// What admission control knows of the caller.
     pub caller: Caller,
     /// Whether the response can still be on time.
-    pub timeliness: Tier,
+    pub timeliness: Timeliness,
     /// Attempts that reached an endpoint.
     pub attempts: u32,
     /// Prefill engine that prefilled the prompt and may still cache it.
@@ -95,7 +95,7 @@
                 .map_or(0, |patience| node.earlier_attempts_ms(&route.name, patience)),
             resumes: call.metadata.last_event_id.is_some(),
         };
-        let timeliness = Tier::from(&caller);
+        let timeliness = Timeliness::from(&caller);
         let (attempts, prefilled_at, failover) = (0, None, None);
         Self {
             node,
@@ -121,8 +121,8 @@
         shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
         Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
-            Reader::Decoding => None,
-            Reader::Prefilling => self.first_prefill(hits.prefill).await?,
+            Prefiller::Decoding => None,
+            Prefiller::Prefilling => self.first_prefill(hits.prefill).await?,
         };
         if !self.node.pool().is_usable(reservation.key) {
             // The engine announced its departure during the prefill.
@@ -165,7 +165,7 @@
     /// day on eleven nodes, each at 47 engines, without a hit).
     async fn cache_hits(&self) -> Hits {
         match &self.call.metadata.last_segment_id {
-            Some(part) if self.timeliness == Tier::Resumed => {
+            Some(part) if self.timeliness == Timeliness::Resumed => {
                 cache::lookup(&self.node, &self.service, &self.call.metadata.id, part).await
             }
             _ => Hits::default(),
@@ -177,22 +177,22 @@
         &self,
         hits: &Hits,
         until: Instant,
-    ) -> Result<(Reservation, Kept), Refusal> {
+    ) -> Result<(Reservation, KvCache), Refusal> {
         if let Some(cached_at) = hits.decode
             && let Some(reservation) = self.reserve_at(cached_at).await
         {
-            return Ok((reservation, Kept::Decoding));
+            return Ok((reservation, KvCache::Decoding));
         }
         let reservation = self.reserve(until, None).await?;
-        let kept = hits.prefill.map_or(Kept::Nowhere, |_| Kept::Prefilling);
+        let kept = hits.prefill.map_or(KvCache::Absent, |_| KvCache::Prefilling);
         Ok((reservation, kept))
     }
 
     /// Chooses which kind of engine prefills the prompt.
-    fn choose_reader(&self, kept: Kept) -> Reader {
+    fn choose_reader(&self, kept: KvCache) -> Prefiller {
         let queue = self.choose_prefill().map(|(_, load)| load);
         let engines = self.node.pool().prefill_engine_count(&self.service);
-        Reader::choose(kept, queue, engines)
+        Prefiller::choose(kept, queue, engines)
     }
 
     /// Prefill engine with the shortest queue, and its load.
