--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::limit;
 use crate::metrics::Retry;
 use crate::node::Node;
-use crate::quarantine::{self, Probe};
+use crate::quarantine::{self, Trial};
 use crate::quota::Grant;
 use crate::refusal::Reason;
 use bytes::Bytes;
@@ -94,12 +94,12 @@
     /// Sent, but the deadline passed.
     #[display("timeout")]
     Timeout,
-    /// Not sent: endpoints crashed while running it, and another copy is being probed.
+    /// Not sent: endpoints crashed while running it, and another copy is on trial.
     #[display("on trial")]
-    ProbeRunning,
-    /// Not sent: blocked, since too many endpoints crashed while running it.
+    OnTrial,
+    /// Not sent: shut out, since too many endpoints crashed while running it.
     #[display("shut out")]
-    Blocked,
+    ShutOut,
 }
 
 impl Failure {
@@ -115,7 +115,7 @@
 
     /// Whether quarantine keeps the request from every endpoint for now.
     pub fn quarantined(self) -> bool {
-        matches!(self, Self::ProbeRunning | Self::Blocked)
+        matches!(self, Self::OnTrial | Self::ShutOut)
     }
 }
 
@@ -180,8 +180,8 @@
     /// When the response head arrived: engines send it with the first token, so the run starts then.
     pub started_at: Millis,
     slot: Slot,
-    /// Probe run, if the request is suspected of crashing endpoints.
-    probe: Option<Probe>,
+    /// Trial, if the request is suspected of crashing endpoints.
+    trial: Option<Trial>,
     /// Connection; closed on drop unless the whole response was read and the connection is reusable.
     connection: Option<Connection>,
     /// Whether the connection may be reused.
@@ -194,15 +194,15 @@
         self.slot.record_outcome(outcome);
     }
 
-    /// Ends the probe run, which holds back other attempts at a suspect request.
-    pub fn end_probe(&mut self) {
-        self.probe = None;
+    /// Ends the trial, which holds back other attempts at a suspect request.
+    pub fn end_trial(&mut self) {
+        self.trial = None;
     }
 
     /// Records that the response is complete, and returns the connection for reuse.
     pub fn complete(&mut self) {
-        if let Some(probe) = &mut self.probe {
-            probe.completed = true;
+        if let Some(trial) = &mut self.trial {
+            trial.completed = true;
         }
         if self.reusable
             && let Some(connection) = self.connection.take()
@@ -255,7 +255,7 @@
         return Err(Failure::Unsent);
     };
     slot.acquire_permit(&call.metadata.id).await?;
-    let mut probe = quarantine::admit(&node, call, &endpoint, purpose).await?;
+    let mut trial = quarantine::admit(&node, call, &endpoint, purpose).await?;
     log_placement(&node, call, &slot, &endpoint, purpose);
     let sent_at = node.now();
     let runs = !matches!(purpose, Purpose::Prefill);
@@ -315,9 +315,9 @@
         info!(request, to, status, outcome = "error"; "{}", event::ATTEMPT);
     }
     let started_at = node.now();
-    probe.iter_mut().for_each(|running| running.started_at = Some(started_at));
+    trial.iter_mut().for_each(|running| running.started_at = Some(started_at));
     let (connection, reusable) = (Some(connection), matches!(purpose, Purpose::Run));
-    Ok(Answer { parts, head, body, endpoint, started_at, slot, probe, connection, reusable })
+    Ok(Answer { parts, head, body, endpoint, started_at, slot, trial, connection, reusable })
 }
 
 /// Logs where a request is sent and the load behind the choice.
@@ -427,7 +427,7 @@
             Failure::RateLimited => Self::RateLimited,
             Failure::Refused => Self::Refused,
             Failure::Broken | Failure::Timeout => Self::Broken,
-            Failure::ProbeRunning | Failure::Blocked => Self::Quarantined,
+            Failure::OnTrial | Failure::ShutOut => Self::Quarantined,
         }
     }
 }
@@ -440,8 +440,8 @@
             Failure::Refused => Self::Refused,
             Failure::Broken => Self::Broken,
             Failure::Timeout => Self::Timeout,
-            Failure::ProbeRunning => Self::ProbeRunning,
-            Failure::Blocked => Self::Blocked,
+            Failure::OnTrial => Self::OnTrial,
+            Failure::ShutOut => Self::ShutOut,
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! `reserve` reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
 //! `relay` passes streams on. `server` starts and stops the node, and `shutdown` decides which requests it accepts meanwhile.
 //!
-//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` blocks requests
+//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` shuts out requests
 //! that crash endpoints, and `rulings` stores these decisions.
 //!
 //! State: `follower` replicates the store into the `mirror`, `peers` and `pull` synchronise it between nodes, and `directory`
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -65,8 +65,8 @@
     pub stalls: IntCounter,
     /// Endpoints that name a rate limit.
     pub limited_endpoints: IntGauge,
-    /// Blocked requests.
-    pub blocked_requests: IntGauge,
+    /// Requests that are shut out.
+    pub shut_out_requests: IntGauge,
     /// Bytes of store records sent to other nodes.
     pub sent_bytes: IntCounter,
     /// Duration of a pull from another node.
@@ -123,7 +123,7 @@
             strikes: counter("crosslane_strikes", "Endpoints that ended under a request")?,
             stalls: counter("crosslane_silences", "Endpoints that fell silent")?,
             limited_endpoints: gauge("crosslane_limited_endpoints", "Endpoints that name a limit")?,
-            blocked_requests: gauge("crosslane_shut_out", "Requests that are shut out")?,
+            shut_out_requests: gauge("crosslane_shut_out", "Requests that are shut out")?,
             sent_bytes: counter("crosslane_told_bytes", "Bytes of records handed to other nodes")?,
             pull: histogram("crosslane_pull_seconds", "Time of a pull from another node")?,
             first_byte: histogram("crosslane_first_seconds", "Time to the first byte or event")?,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Poison request quarantine: keeps requests that crash endpoints away from them.
 //!
-//! `coordination::quarantine` decides which requests are suspect or blocked. This module checks whether an endpoint that broke
+//! `coordination::quarantine` decides which requests are suspect or shut out. This module checks whether an endpoint that broke
 //! off a response has crashed, admits or rejects requests, and logs and shares the results. While no request is suspect,
 //! the check costs one lookup in an empty map per request; fingerprints are computed only after a response broke off.
 
@@ -82,9 +82,9 @@
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Probe run of a suspect request; its result is recorded when it is dropped.
+/// Trial of a suspect request; its result is recorded when it is dropped.
 #[derive(Debug)]
-pub struct Probe {
+pub struct Trial {
     node: Arc<Node>,
     request: Fingerprint,
     /// When the run started, if it has: a request may queue at its engine for seconds.
@@ -93,7 +93,7 @@
     pub completed: bool,
 }
 
-impl Drop for Probe {
+impl Drop for Trial {
     fn drop(&mut self) {
         let ran = self.started_at.map_or(0, |started_at| self.node.now().since(started_at));
         let innocent = self.completed || ran >= INNOCENT_AFTER_MS;
@@ -115,12 +115,12 @@
 pub fn check(node: &Node, call: &Call) -> Result<(), Failure> {
     match request_status(node, call) {
         Status::Clear | Status::Suspect => Ok(()),
-        Status::OnTrial => Err(Failure::ProbeRunning),
-        Status::ShutOut(_) => Err(Failure::Blocked),
+        Status::OnTrial => Err(Failure::OnTrial),
+        Status::ShutOut(_) => Err(Failure::ShutOut),
     }
 }
 
-/// Whether a request is free, suspect, being probed or blocked.
+/// Whether a request is clear, suspect, on trial or shut out.
 fn request_status(node: &Node, call: &Call) -> Status {
     if node.quarantine().is_empty() {
         return Status::Clear;
@@ -135,19 +135,19 @@
     call: &Call,
     endpoint: &Endpoint,
     purpose: &Purpose<'_>,
-) -> Result<Option<Probe>, Failure> {
+) -> Result<Option<Trial>, Failure> {
     let runs = !matches!(purpose, Purpose::Prefill);
     match request_status(node, call) {
-        Status::ShutOut(_) => Err(log_rejection(call, Failure::Blocked)),
-        Status::OnTrial if runs => Err(log_rejection(call, Failure::ProbeRunning)),
-        Status::Suspect if runs => start_probe(node, call, endpoint).await.map(Some),
+        Status::ShutOut(_) => Err(log_rejection(call, Failure::ShutOut)),
+        Status::OnTrial if runs => Err(log_rejection(call, Failure::OnTrial)),
+        Status::Suspect if runs => start_trial(node, call, endpoint).await.map(Some),
         Status::Clear | Status::Suspect | Status::OnTrial => Ok(None),
     }
 }
 
-/// Announces a probe run of a suspect and admits it if no other suspect runs at the endpoint: if the endpoint crashed, both
+/// Announces a trial of a suspect and admits it if no other suspect runs at the endpoint: if the endpoint crashed, both
 /// would get a strike.
-async fn start_probe(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Probe, Failure> {
+async fn start_trial(node: &Arc<Node>, call: &Call, endpoint: &Endpoint) -> Result<Trial, Failure> {
     let (request, tag) = (call.fingerprint(), endpoint.tag());
     {
         let mut quarantine = node.quarantine();
@@ -157,14 +157,14 @@
         quarantine.begin_trial(request, tag, node.now());
     }
     node.suspicions_changed.notify_one();
-    let probe = Probe { node: node.clone(), request, started_at: None, completed: false };
+    let trial = Trial { node: node.clone(), request, started_at: None, completed: false };
     sleep(Duration::from_millis(ANNOUNCE_DELAY_MS)).await;
     if node.quarantine().must_yield(request, tag, node.now()) {
         return Err(beside_another(call));
     }
     match request_status(node, call) {
-        Status::ShutOut(_) => Err(log_rejection(call, Failure::Blocked)),
-        Status::Clear | Status::Suspect | Status::OnTrial => Ok(probe),
+        Status::ShutOut(_) => Err(log_rejection(call, Failure::ShutOut)),
+        Status::Clear | Status::Suspect | Status::OnTrial => Ok(trial),
     }
 }
 
@@ -174,7 +174,7 @@
 }
 
 /// Engines at which other suspects run; a suspect is not placed there.
-pub fn engines_with_probes(node: &Node, call: &Call) -> Vec<Key> {
+pub fn engines_with_trials(node: &Node, call: &Call) -> Vec<Key> {
     if request_status(node, call) != Status::Suspect {
         return Vec::new();
     }
@@ -187,7 +187,7 @@
 pub fn refusal(node: &Node, call: &Call, failure: Failure) -> Refusal {
     log_rejection(call, failure);
     match request_status(node, call) {
-        Status::ShutOut(left) => Refusal::retry_after(Reason::Blocked, Duration::from_millis(left)),
+        Status::ShutOut(left) => Refusal::retry_after(Reason::ShutOut, Duration::from_millis(left)),
         Status::Clear | Status::Suspect | Status::OnTrial => stream::retry_later(failure.into()),
     }
 }
@@ -257,7 +257,8 @@
     }
 }
 
-/// Blocks requests with enough strikes, and unblocks those whose strikes a blocked request explains.
+/// Shuts out requests with enough strikes, and lifts the rulings on those whose strikes another request that is shut out
+/// explains.
 fn settle(node: &Node) {
     let (now, unix) = (node.now(), clock::unix());
     let (shut, acquitted) = {
@@ -302,5 +303,5 @@
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
     }
-    node.meter.blocked_requests.set(quarantine.shut_out_count() as i64);
+    node.meter.shut_out_requests.set(quarantine.shut_out_count() as i64);
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -35,10 +35,10 @@
     Broken,
     /// The request was sent, and the deadline passed.
     Timeout,
-    /// Endpoints crashed while running the request, and another copy is being probed.
-    ProbeRunning,
-    /// The request is blocked, since too many endpoints crashed while running it.
-    Blocked,
+    /// Endpoints crashed while running the request, and another copy is on trial.
+    OnTrial,
+    /// The request is shut out, since too many endpoints crashed while running it.
+    ShutOut,
     /// The caller sent no API key.
     NoKey,
     /// The API key belongs to no organisation.
@@ -63,8 +63,8 @@
     (Reason::Refused, "refused", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::Broken, "broken", StatusCode::BAD_GATEWAY),
     (Reason::Timeout, "timeout", StatusCode::GATEWAY_TIMEOUT),
-    (Reason::ProbeRunning, "on_trial", StatusCode::SERVICE_UNAVAILABLE),
-    (Reason::Blocked, "shut_out", StatusCode::SERVICE_UNAVAILABLE),
+    (Reason::OnTrial, "on_trial", StatusCode::SERVICE_UNAVAILABLE),
+    (Reason::ShutOut, "shut_out", StatusCode::SERVICE_UNAVAILABLE),
     (Reason::NoKey, "no_key", StatusCode::UNAUTHORIZED),
     (Reason::UnknownKey, "unknown_key", StatusCode::UNAUTHORIZED),
     (Reason::OverQuota, "over_quota", StatusCode::TOO_MANY_REQUESTS),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -269,7 +269,7 @@
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
                     answer.record_outcome(Outcome::Error);
-                    // The response, and its probe run with it, is dropped before the next try.
+                    // The response, and its trial with it, is dropped before the next try.
                     ("not resumed", true)
                 }
                 Err(failure) => ("not resumed", failure.is_some_and(|known| !known.quarantined())),
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -84,7 +84,7 @@
     /// room, `reservations` if engines refused.
     async fn round(&self, except: Option<Key>) -> Result<Reservation, &'static str> {
         let tokens = self.expected_tokens();
-        let mut tried = quarantine::engines_with_probes(&self.node, &self.call);
+        let mut tried = quarantine::engines_with_trials(&self.node, &self.call);
         tried.extend(except);
         let excluded = tried.len();
         while tried.len() < excluded + MAX_ENGINES_PER_ROUND {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -153,7 +153,7 @@
         if !self.route.kind.idempotent() {
             return Err(answer);
         }
-        answer.end_probe();
+        answer.end_trial();
         match self.retry(Failure::Broken).await {
             Ok(other) if other.parts.status.is_success() => Ok(other),
             Ok(_) | Err(_) => Err(answer),
