--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -47,35 +47,35 @@
     };
     let change = node.limits().observe(endpoint.tag(), rate, sent_at, node.now());
     if let Some(change) = change {
-        apply(node, endpoint.tag(), change, "answer");
+        apply_change(node, endpoint.tag(), change, "answer");
         node.limits_changed.notify_one();
     }
 }
 
-/// Merges another node's updates.
-pub fn merge(node: &Node, updates: &[(Tag, Update)], from: IpAddr) {
+/// Applies another node's updates.
+pub fn apply_updates(node: &Node, updates: &[(Tag, Update)], from: IpAddr) {
     for (endpoint, update) in updates {
         let change = node.limits().apply(*endpoint, *update, node.now());
         if let Some(change) = change {
-            apply(node, *endpoint, change, from);
+            apply_change(node, *endpoint, change, from);
         }
     }
 }
 
-/// Merges what a querying node knows of a limit, and sends it the newer state if it is behind.
+/// Applies the limit that a querying node has, and sends it the newer state if it is behind.
 pub fn sync_with_querier(node: &Node, subject: Subject, theirs: Option<Update>, from: IpAddr) {
     let (Subject::Endpoint(endpoint), Some(theirs)) = (subject, theirs) else {
         return;
     };
-    merge(node, &[(endpoint, theirs)], from);
+    apply_updates(node, &[(endpoint, theirs)], from);
     let ours = node.limits().latest(endpoint);
-    if let Some(ours) = ours.filter(|word| *word != theirs) {
+    if let Some(ours) = ours.filter(|ours| *ours != theirs) {
         peers::try_send(node, &Message::Limits { limits: vec![(endpoint, ours)] }, from);
     }
 }
 
 /// Applies a changed limit to the bucket and to the pool, and logs it.
-fn apply(node: &Node, endpoint: Tag, change: Change, source: impl Display) {
+fn apply_change(node: &Node, endpoint: Tag, change: Change, source: impl Display) {
     if change.rate.is_some() {
         quota::start_bucket(node, Subject::Endpoint(endpoint));
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -6,7 +6,7 @@
 
 use crate::mirror::Offsets;
 use crosslane_coordination::heartbeat::{self, FEW, Interval};
-use crosslane_coordination::limits::Update as LimitWord;
+use crosslane_coordination::limits::Update as LimitUpdate;
 use crosslane_coordination::quota;
 use crosslane_coordination::suspicion;
 use crosslane_coordination::usage::Usage;
@@ -106,7 +106,7 @@
     /// Rate limits that endpoints announce, as the sender has them.
     Limits {
         /// Limits by endpoint.
-        limits: Vec<(Tag, LimitWord)>,
+        limits: Vec<(Tag, LimitUpdate)>,
     },
     /// Request for all rate limits that endpoints announce.
     LimitsRequest,
@@ -119,7 +119,7 @@
         /// Cost of the request.
         cost: u32,
         /// The limit as the sender has it, if it is one of an endpoint.
-        word: Option<LimitWord>,
+        limit: Option<LimitUpdate>,
     },
     /// Answer of the node that owns the limit.
     QuotaReply {
@@ -130,8 +130,8 @@
         /// The answer.
         verdict: quota::Decision,
     },
-    /// Returns a grant that was not used.
-    QuotaReturn {
+    /// Refunds a grant that was not used.
+    QuotaRefund {
         /// Owner of the limit.
         subject: Subject,
         /// Cost of the request that was not sent.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -417,7 +417,9 @@
                 lock(&node.members).record_offsets(from.ip(), offsets);
                 node.record_peer_offsets(offsets);
             }
-            Ok(Message::Suspicions { vm, suspicions }) => quarantine::merge(&node, vm, suspicions),
+            Ok(Message::Suspicions { vm, suspicions }) => {
+                quarantine::apply_updates(&node, vm, suspicions)
+            }
             Ok(Message::RulingsDigest { digest }) => {
                 if digest != node.quarantine().digest()
                     && is_due(&mut rulings_last_asked, ASK_PAUSE_MS, node.now())
@@ -425,22 +427,22 @@
                     send(&node, &socket, &Message::RulingsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Limits { limits }) => limit::merge(&node, &limits, from.ip()),
+            Ok(Message::Limits { limits }) => limit::apply_updates(&node, &limits, from.ip()),
             Ok(Message::LimitsRequest) => {
                 let limits = node.limits().snapshot();
                 send_limits(&node, &socket, limits, &[from.ip()]).await;
             }
-            Ok(Message::QuotaRequest { number, subject, cost, word }) => {
-                limit::sync_with_querier(&node, subject, word, from.ip());
+            Ok(Message::QuotaRequest { number, subject, cost, limit }) => {
+                limit::sync_with_querier(&node, subject, limit, from.ip());
                 let answer = quota::reply(&node, number, subject, cost);
                 try_send(&node, &answer, from.ip());
             }
             Ok(Message::QuotaReply { number, subject, verdict }) => {
                 if let Some((subject, cost)) = node.limiter(subject).resolve(number, verdict) {
-                    try_send(&node, &Message::QuotaReturn { subject, cost }, from.ip());
+                    try_send(&node, &Message::QuotaRefund { subject, cost }, from.ip());
                 }
             }
-            Ok(Message::QuotaReturn { subject, cost }) => {
+            Ok(Message::QuotaRefund { subject, cost }) => {
                 node.limiter(subject).refund(subject, cost);
             }
             Ok(Message::RulingsRequest) => {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -279,8 +279,8 @@
     }
 }
 
-/// Merges another node's updates.
-pub fn merge(node: &Node, from: Tag, updates: Vec<(Fingerprint, Update)>) {
+/// Applies another node's updates.
+pub fn apply_updates(node: &Node, from: Tag, updates: Vec<(Fingerprint, Update)>) {
     let (now, unix) = (node.now(), clock::unix());
     for (fingerprint, update) in updates {
         let verdict = match &update {
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -160,7 +160,7 @@
             Source::EvenShare => lock(&limiter.shares).refund(subject.tag(), cost),
             Source::Owner(ip) if ip == self.node.settings.ip => limiter.refund(subject, cost),
             Source::Owner(ip) => {
-                peers::try_send(&self.node, &Message::QuotaReturn { subject, cost }, ip);
+                peers::try_send(&self.node, &Message::QuotaRefund { subject, cost }, ip);
             }
         }
     }
@@ -294,12 +294,12 @@
 /// Queries an owner over the network; `None` without a reply in time.
 async fn query(node: &Node, subject: Subject, ask: Charge, owner: IpAddr) -> Option<Decision> {
     let cost = ask.cost;
-    let known = match subject {
+    let latest = match subject {
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().latest(endpoint),
     };
     let (number, receiver) = node.limiter(subject).register(subject, cost, node.now());
-    peers::try_send(node, &Message::QuotaRequest { number, subject, cost, word: known }, owner);
+    peers::try_send(node, &Message::QuotaRequest { number, subject, cost, limit: latest }, owner);
     timeout(QUERY_TIMEOUT, receiver).await.ok()?.ok()
 }
 
