--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -114,7 +114,7 @@
     let mut response = match result {
         Ok(response) => response,
         Err(refusal) => {
-            node.meter.count_refusal(refusal.reason);
+            node.metrics.count_refusal(refusal.reason);
             entry.ending = refusal.reason.name();
             refusal.into_response(id.as_deref())
         }
@@ -275,7 +275,7 @@
 
 impl Drop for LogEntry {
     fn drop(&mut self) {
-        self.node.meter.count_ending(self.ending);
+        self.node.metrics.count_ending(self.ending);
         if let Some(open) = self.open.take() {
             self.node.end_request(open, self.ending == ANSWERED && self.status.is_success());
         }
@@ -360,7 +360,7 @@
 
 fn status_response(node: &Node, path: &str, metrics: &str) -> Response<Reply> {
     let (status, body) = match path {
-        path if path == metrics => match node.meter.encode() {
+        path if path == metrics => match node.metrics.encode() {
             Ok(text) => (StatusCode::OK, Bytes::from(text)),
             Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string().into()),
         },
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -131,10 +131,10 @@
 /// Removes expired state, and the limits of endpoints that are gone.
 pub fn remove_expired(node: &Node) {
     let now = node.now();
-    node.throttle.remove_expired(now);
+    node.endpoint_limiter.remove_expired(now);
     lock(&node.queues).expire(now);
     let pool = node.pool();
     let mut limits = node.limits();
     limits.expire(|endpoint| pool.key(endpoint).is_some(), now);
-    node.meter.limited_endpoints.set(limits.count() as i64);
+    node.metrics.limited_endpoints.set(limits.count() as i64);
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -76,7 +76,7 @@
     /// Clock that also counts while the machine is suspended.
     pub clock: Clock,
     /// Metrics.
-    pub meter: Metrics,
+    pub metrics: Metrics,
     /// Client for control calls to engines.
     pub control: Control,
     /// Idle connections to plain endpoints.
@@ -100,13 +100,13 @@
     /// Wakes the writer of rulings to the store.
     pub rulings_changed: Notify,
     /// Liveness checks of endpoints that broke off an answer.
-    pub checks: Checks,
+    pub liveness_checks: Checks,
     /// Whether reading the rulings from the store was tried, with or without success.
     pub rulings_read_tried: AtomicBool,
     /// Limiter for the rate limits of organisations.
-    pub quota: Limiter,
+    pub organisation_limiter: Limiter,
     /// Limiter for the rate limits of endpoints.
-    pub throttle: Limiter,
+    pub endpoint_limiter: Limiter,
     /// UDP socket for messages between nodes, once it is bound.
     pub socket: OnceLock<Arc<UdpSocket>>,
     /// Wakes requests that wait for a newer configuration.
@@ -126,8 +126,8 @@
     resumed_at: Mutex<Option<Millis>>,
     /// Token bucket for the bytes of transfers to other nodes.
     peer_bandwidth: Mutex<Pace>,
-    /// Deadlines that callers give, by route.
-    patience: Mutex<HashMap<String, Timeouts>>,
+    /// Timeouts that callers give, by route.
+    timeouts: Mutex<HashMap<String, Timeouts>>,
     /// Durations of recent requests, by service.
     durations: Mutex<HashMap<String, Durations>>,
     quarantine: Mutex<Quarantine>,
@@ -161,7 +161,7 @@
         };
         Ok(Self {
             clock: Clock::start(),
-            meter: Metrics::new()?,
+            metrics: Metrics::new()?,
             control: Control::default(),
             idle_connections: Connections::new(IDLE_TIMEOUT, MAX_IDLE_CONNECTIONS),
             prefix_caches: Listings::default(),
@@ -173,10 +173,10 @@
             suspicions_changed: Notify::new(),
             limits_changed: Notify::new(),
             rulings_changed: Notify::new(),
-            checks: Checks::default(),
+            liveness_checks: Checks::default(),
             rulings_read_tried: AtomicBool::new(false),
-            quota: Limiter::new(settings.quota),
-            throttle: Limiter::new(limits::TOLERANCE),
+            organisation_limiter: Limiter::new(settings.quota),
+            endpoint_limiter: Limiter::new(limits::TOLERANCE),
             socket: OnceLock::new(),
             configuration_applied: Notify::new(),
             stopping: watch::Sender::new(None),
@@ -190,7 +190,7 @@
             last_store_call_failed: AtomicBool::new(false),
             resumed_at: Mutex::default(),
             peer_bandwidth: Mutex::new(Pace::new(settings.link / LINK_SHARE_DIVISOR, BURST_BYTES)),
-            patience: Mutex::default(),
+            timeouts: Mutex::default(),
             durations: Mutex::default(),
             quarantine: Mutex::new(Quarantine::new(Tag::of(&settings.vm))),
             limits: Mutex::default(),
@@ -262,8 +262,8 @@
     /// The rate limiter that is responsible for a subject.
     pub fn limiter(&self, subject: Subject) -> &Limiter {
         match subject {
-            Subject::Organisation(_) => &self.quota,
-            Subject::Endpoint(_) => &self.throttle,
+            Subject::Organisation(_) => &self.organisation_limiter,
+            Subject::Endpoint(_) => &self.endpoint_limiter,
         }
     }
 
@@ -334,10 +334,10 @@
 
     /// Estimate of the time that a caller spent on earlier attempts, in milliseconds, from the time
     /// that it still has and what other callers of the route have.
-    pub fn earlier_attempts_ms(&self, route: &str, patience: Duration) -> u64 {
-        let patience = patience.as_millis() as u64;
-        let mut routes = lock(&self.patience);
-        routes.entry(route.to_owned()).or_default().spent_ms(patience, self.now())
+    pub fn earlier_attempts_ms(&self, route: &str, timeout: Duration) -> u64 {
+        let timeout = timeout.as_millis() as u64;
+        let mut routes = lock(&self.timeouts);
+        routes.entry(route.to_owned()).or_default().spent_ms(timeout, self.now())
     }
 
     /// Records that the store answered; `recovered` if the call before failed.
@@ -361,7 +361,7 @@
             self.heartbeat_due.notify_one();
         }
         self.last_store_call_failed.store(true, Ordering::Relaxed);
-        self.meter.count_store_error(topic.name());
+        self.metrics.count_store_error(topic.name());
     }
 
     /// Time since the store recovered, in milliseconds, while endpoints may still rewrite expired
@@ -398,7 +398,7 @@
     /// Counts bytes sent to another node.
     pub fn count_sent_to_peers(&self, bytes: usize) {
         lock(&self.peer_bandwidth).spend(bytes);
-        self.meter.sent_bytes.inc_by(bytes as u64);
+        self.metrics.sent_bytes.inc_by(bytes as u64);
     }
 
     /// Applies what changed in the replica of the store.
@@ -430,7 +430,7 @@
             return;
         }
         info!(version = table.version, before, source; "{}", event::CONFIGURATION);
-        self.meter.configuration_version.set(table.version.cast_signed());
+        self.metrics.configuration_version.set(table.version.cast_signed());
         *current = Some(Arc::new(table));
         drop(current);
         self.configuration_applied.notify_waiters();
@@ -444,7 +444,7 @@
         drop(mirror);
         let endpoints: Vec<Endpoint> = directory.endpoints().cloned().collect();
         for error in errors {
-            self.meter.skipped_records.inc();
+            self.metrics.skipped_records.inc();
             warn!(why:% = error; "{}", event::SKIPPED);
         }
         let now = self.now();
@@ -458,7 +458,7 @@
         let listed = endpoints.len();
         info!(offset = end, listed, prefill, decode, draining, lenient, source; "{}", event::ENDPOINTS);
         pool.replace(endpoints, lenient, now);
-        self.meter.endpoints.set(pool.len() as i64);
+        self.metrics.endpoints.set(pool.len() as i64);
     }
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -238,7 +238,7 @@
             let scope = if members.take_unannounced() { Scope::All } else { scope(round, changed) };
             members.addresses(scope, now)
         };
-        node.meter.peers.set(lock(&node.members).addresses(Scope::Live, now).len() as i64);
+        node.metrics.peers.set(lock(&node.members).addresses(Scope::Live, now).len() as i64);
         send(&node, &socket, &Message::Heartbeat(heartbeat), &addresses).await;
         send_rulings_digest(&node, &socket, &addresses).await;
         round += 1;
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -60,7 +60,7 @@
             Ok(Attempt::Error(response)) => {
                 attempts.sent += 1;
                 error_response = Some(response);
-                node.meter.count_retry(Retry::Error);
+                node.metrics.count_retry(Retry::Error);
             }
             Err(failure) => {
                 may_have_run |= failure.may_have_run();
@@ -71,7 +71,7 @@
                 if failure.may_have_run() && !route.kind.idempotent() {
                     return Err(reason.into());
                 }
-                node.meter.count_retry(failure.into());
+                node.metrics.count_retry(failure.into());
                 if failure.quarantined() {
                     break;
                 }
@@ -131,7 +131,7 @@
         };
         let place = self.node.pool().choose(query, self.node.now())?;
         if retries && !self.node.take_retry(service) {
-            self.node.meter.count_retry(Retry::DeniedBudget);
+            self.node.metrics.count_retry(Retry::DeniedBudget);
             return None;
         }
         Some(place)
@@ -182,7 +182,7 @@
     let slot = Slot::acquire(node, place, 0);
     let until = call.deadline.instant();
     let answer = exchange::send(call, slot, &Purpose::Run, until).await?;
-    Metrics::observe(&node.meter.first_byte, call.arrived.elapsed());
+    Metrics::observe(&node.metrics.first_byte, call.arrived.elapsed());
     let error = answer.parts.status.is_server_error();
     answer.record_outcome(if error { Outcome::Error } else { Outcome::Good });
     let short = answer.head.length.is_some_and(|length| length <= MAX_BUFFERED_BYTES);
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -105,7 +105,7 @@
     /// the number of consecutive pulls that ended at busy nodes.
     async fn finish(self, result: io::Result<Outcome>, busy_in_a_row: u32) -> u32 {
         let took_ms = self.node.now().since(self.began);
-        Metrics::observe(&self.node.meter.pull, Duration::from_millis(took_ms));
+        Metrics::observe(&self.node.metrics.pull, Duration::from_millis(took_ms));
         let now = self.current_offset();
         let Self { node, topic, from, known, announced: told, parts: pieces, bytes, .. } = self;
         let topic = topic.name();
@@ -114,7 +114,7 @@
                 info!(from:% = from, topic, outcome:? = outcome, known, now, pieces, bytes, took_ms; "{}", event::PULLED);
             }
             Err(error) => {
-                node.meter.pull_failures.inc();
+                node.metrics.pull_failures.inc();
                 warn!(from:% = from, topic, known, now, told, pieces, bytes, took_ms, why:% = error; "{}", event::PULL_FAILED);
             }
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -218,20 +218,20 @@
         // No evidence against the request, but used to detect that many endpoints end together.
         let (node, endpoint) = (node.clone(), endpoint.clone());
         tokio::spawn(async move {
-            if node.checks.gone(&endpoint).await {
+            if node.liveness_checks.gone(&endpoint).await {
                 node.quarantine().record_crash(endpoint.tag(), node.now());
             }
         });
         return;
     }
-    if node.checks.gone(endpoint).await {
+    if node.liveness_checks.gone(endpoint).await {
         strike(node, request, fingerprint, endpoint);
         return;
     }
     let (node, endpoint, request) = (node.clone(), endpoint.clone(), request.to_owned());
     tokio::spawn(async move {
         sleep(LAST_CHECK_DELAY).await;
-        if node.checks.gone(&endpoint).await {
+        if node.liveness_checks.gone(&endpoint).await {
             strike(&node, &request, fingerprint, &endpoint);
         }
     });
@@ -245,7 +245,7 @@
         info!(request, fingerprint:%, to, why:% = result; "{}", event::SPARED);
         return;
     };
-    node.meter.strikes.inc();
+    node.metrics.strikes.inc();
     info!(request, fingerprint:%, to, strikes; "{}", event::STRUCK);
     node.suspicions_changed.notify_one();
     if strikes >= STRIKES_TO_SHUT_OUT {
@@ -303,5 +303,5 @@
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
     }
-    node.meter.shut_out_requests.set(quarantine.shut_out_count() as i64);
+    node.metrics.shut_out_requests.set(quarantine.shut_out_count() as i64);
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -147,7 +147,7 @@
         let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
         let frame = self.generation.unless_stalled(at, attempts, frame).await;
-        Metrics::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
+        Metrics::observe(&self.generation.node.metrics.event_gap, started_at.elapsed());
         match frame {
             Err(failover) => Chunk::Stalled(Box::new(failover)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
@@ -264,7 +264,7 @@
                 break denied;
             }
             let resumed = self.generation.retry_elsewhere(last).await;
-            self.generation.node.meter.count_retry(Retry::Resumed);
+            self.generation.node.metrics.count_retry(Retry::Resumed);
             let (outcome, retry) = match &resumed {
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
@@ -300,7 +300,7 @@
             return Some("cut: no attempt left");
         }
         if !node.take_retry(service) {
-            node.meter.count_retry(Retry::DeniedBudget);
+            node.metrics.count_retry(Retry::DeniedBudget);
             return Some("cut: retry budget spent");
         }
         None
--- a/crates/gateway/src/rulings.rs
+++ b/crates/gateway/src/rulings.rs
@@ -112,7 +112,7 @@
     let (now, unix) = (node.now(), clock::unix());
     for record in &page.records {
         let Ok(Entry { request, ruling }) = Entry::try_from(record) else {
-            node.meter.skipped_records.inc();
+            node.metrics.skipped_records.inc();
             warn!(why = "not a ruling", key = record.key; "{}", event::SKIPPED);
             continue;
         };
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -96,7 +96,7 @@
         node.idle_connections.remove_expired();
         node.pool().expire(node.now());
         quarantine::remove_expired(&node);
-        node.quota.remove_expired(node.now());
+        node.organisation_limiter.remove_expired(node.now());
         limit::remove_expired(&node);
     }
 }
--- a/crates/gateway/src/stall.rs
+++ b/crates/gateway/src/stall.rs
@@ -56,7 +56,7 @@
 fn record_stall(node: &Node, call: &Call, at: Key, since: Instant) {
     let mut pool = node.pool();
     pool.record_outcome(at, Outcome::Failed, node.now());
-    node.meter.stalls.inc();
+    node.metrics.stalls.inc();
     let to = pool.get(at).map(|endpoint| endpoint.id.as_str()).unwrap_or_default();
     let (request, listed) = (call.metadata.id.as_str(), pool.is_usable(at));
     let silent_ms = since.elapsed().as_millis() as u64;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -119,7 +119,7 @@
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
         shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
-        Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.metrics.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
             Reader::Decoding => None,
             Reader::Prefilling => self.first_prefill(hits.prefill).await?,
@@ -136,7 +136,7 @@
             Err(failure) => self.retry(failure).await?,
         };
         let stream = self.retry_error(answer).await;
-        Metrics::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.metrics.first_byte, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
             Err(error) => plain::relay(&self.node, error, &self.call),
@@ -234,7 +234,7 @@
     async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
         let prefilled = self.prefill(cached_at).await;
         if prefilled.is_none() && !self.node.take_retry(&self.service) {
-            self.node.meter.count_retry(Retry::DeniedBudget);
+            self.node.metrics.count_retry(Retry::DeniedBudget);
             return Err(retry_later(Reason::Refused));
         }
         Ok(prefilled.map(|(at, handle)| {
@@ -269,7 +269,7 @@
         let Some(id) = engine::handle(&body) else {
             return Ok(None);
         };
-        Metrics::observe(&self.node.meter.prefill, started_at.elapsed());
+        Metrics::observe(&self.node.metrics.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
@@ -334,7 +334,7 @@
             return None;
         }
         if !self.node.take_retry(&self.service) {
-            self.node.meter.count_retry(Retry::DeniedBudget);
+            self.node.metrics.count_retry(Retry::DeniedBudget);
             return None;
         }
         Some(Failover { reservation, handle })
@@ -356,10 +356,10 @@
         while !failure.quarantined() && self.attempts < self.route.max_attempts.max(1) {
             let prepaid = self.attempts == 0 || self.failover.is_some();
             if !prepaid && !self.node.take_retry(&self.service) {
-                self.node.meter.count_retry(Retry::DeniedBudget);
+                self.node.metrics.count_retry(Retry::DeniedBudget);
                 break;
             }
-            self.node.meter.count_retry(failure.into());
+            self.node.metrics.count_retry(failure.into());
             match self.retry_elsewhere(self.call.metadata.last_event).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
