--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -76,7 +76,7 @@
     /// The whole state of the sender, at intervals.
     Heartbeat(Heartbeat),
     /// Changed usage of engines, sent to near nodes at once.
-    Update {
+    UsageDelta {
         /// Tag of the sender's VM.
         vm: Tag,
         /// The new usage of these engines.
@@ -128,7 +128,7 @@
         /// Owner of the limit.
         subject: Subject,
         /// The answer.
-        verdict: quota::Decision,
+        decision: quota::Decision,
     },
     /// Refunds a grant that was not used.
     QuotaRefund {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -265,7 +265,7 @@
         let addresses = lock(&node.members).addresses(Scope::Near, node.now());
         let usage = node.pool().take_usage_delta(node.now());
         if !usage.is_empty() {
-            send(&node, &socket, &Message::Update { vm: node.tag(), usage }, &addresses).await;
+            send(&node, &socket, &Message::UsageDelta { vm: node.tag(), usage }, &addresses).await;
         }
     }
 }
@@ -412,7 +412,7 @@
                     send(&node, &socket, &Message::LimitsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Update { vm, usage }) => node.pool().apply_usage_delta(vm, &usage),
+            Ok(Message::UsageDelta { vm, usage }) => node.pool().apply_usage_delta(vm, &usage),
             Ok(Message::Offsets { offsets }) => {
                 lock(&node.members).record_offsets(from.ip(), offsets);
                 node.record_peer_offsets(offsets);
@@ -437,8 +437,8 @@
                 let answer = quota::reply(&node, number, subject, cost);
                 try_send(&node, &answer, from.ip());
             }
-            Ok(Message::QuotaReply { number, subject, verdict }) => {
-                if let Some((subject, cost)) = node.limiter(subject).resolve(number, verdict) {
+            Ok(Message::QuotaReply { number, subject, decision }) => {
+                if let Some((subject, cost)) = node.limiter(subject).resolve(number, decision) {
                     try_send(&node, &Message::QuotaRefund { subject, cost }, from.ip());
                 }
             }
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -92,10 +92,10 @@
     }
 
     /// Delivers an owner's reply. Returns the subject and cost to refund if it grants a request that no longer waits.
-    pub fn resolve(&self, number: u32, verdict: Decision) -> Option<(Subject, u32)> {
+    pub fn resolve(&self, number: u32, decision: Decision) -> Option<(Subject, u32)> {
         let Query { reply, subject, cost, .. } = lock(&self.pending).remove(&number)?;
-        let abandoned = reply.send(verdict).is_err();
-        (abandoned && verdict == Decision::Granted).then_some((subject, cost))
+        let abandoned = reply.send(decision).is_err();
+        (abandoned && decision == Decision::Granted).then_some((subject, cost))
     }
 
     /// Refunds a grant that another node did not use.
@@ -116,8 +116,8 @@
 #[derive(Debug)]
 pub struct Grant {
     node: Arc<Node>,
-    charge: Option<Debit>,
-    mark_sent: AtomicBool,
+    debit: Option<Debit>,
+    sent: AtomicBool,
 }
 
 /// Cost taken from a limit, and who granted it.
@@ -134,25 +134,25 @@
         Self::new(node, None)
     }
 
-    fn new(node: &Arc<Node>, charge: Option<Debit>) -> Self {
-        Self { node: node.clone(), charge, mark_sent: AtomicBool::new(false) }
+    fn new(node: &Arc<Node>, debit: Option<Debit>) -> Self {
+        Self { node: node.clone(), debit, sent: AtomicBool::new(false) }
     }
 
     /// Marks the request as sent; returns whether it was marked before.
     pub fn mark_sent(&self) -> bool {
-        self.mark_sent.swap(true, Ordering::Relaxed)
+        self.sent.swap(true, Ordering::Relaxed)
     }
 
     /// Marks the request as not sent, so that its cost is refunded.
     pub fn mark_unsent(&self) {
-        self.mark_sent.store(false, Ordering::Relaxed);
+        self.sent.store(false, Ordering::Relaxed);
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        let unused = !self.mark_sent.load(Ordering::Relaxed);
-        let Some(Debit { subject, cost, source }) = self.charge.filter(|_| unused) else {
+        let unused = !self.sent.load(Ordering::Relaxed);
+        let Some(Debit { subject, cost, source }) = self.debit.filter(|_| unused) else {
             return;
         };
         let limiter = self.node.limiter(subject);
@@ -205,16 +205,16 @@
     limit: Limit,
     cost: u32,
 ) -> Result<Grant, Exceeded> {
-    let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
-    let (verdict, source) = decide(node, subject, ask).await;
-    if let Decision::OverLimit { wait: wait_ms } = verdict {
+    let charge = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
+    let (decision, source) = decide(node, subject, charge).await;
+    if let Decision::OverLimit { wait: wait_ms } = decision {
         return Err(Exceeded { wait_ms, source });
     }
     Ok(Grant::new(node, Some(Debit { subject, cost, source })))
 }
 
-/// Verdict of the owner, of the next node in its place, or of this node alone.
-async fn decide(node: &Arc<Node>, subject: Subject, ask: Charge) -> (Decision, Source) {
+/// Decision of the owner, of the next node in its place, or of this node alone.
+async fn decide(node: &Arc<Node>, subject: Subject, charge: Charge) -> (Decision, Source) {
     let owners = owners(node, subject);
     let limiter = node.limiter(subject);
     for owner in owners {
@@ -222,24 +222,24 @@
         if misses.is_some_and(|known| known.should_skip(node.now())) {
             continue;
         }
-        let verdict = if owner == node.settings.ip {
-            Some(decide_as_owner(node, subject, ask))
+        let decision = if owner == node.settings.ip {
+            Some(decide_as_owner(node, subject, charge))
         } else {
-            query(node, subject, ask, owner).await
+            query(node, subject, charge, owner).await
         };
-        let Some(verdict) = verdict else {
+        let Some(decision) = decision else {
             lock(&limiter.unresponsive).entry(owner).or_default().miss(node.now());
             continue;
         };
         lock(&limiter.unresponsive).remove(&owner);
-        if verdict != Decision::Undecided {
-            return (verdict, Source::Owner(owner));
+        if decision != Decision::Undecided {
+            return (decision, Source::Owner(owner));
         }
     }
     let (_, known) = lock(&node.members).live_and_serving(node.now());
     let share = 1.0 / known as f64;
-    let ask = as_deputy(subject, ask);
-    (lock(&limiter.shares).decide_alone(ask, share, node.now()), Source::EvenShare)
+    let charge = as_deputy(subject, charge);
+    (lock(&limiter.shares).decide_alone(charge, share, node.now()), Source::EvenShare)
 }
 
 /// Starts the bucket of a limit, if this node owns it.
@@ -266,34 +266,34 @@
 
 /// Reduces a limit that is decided on in the place of its first owner, which may grant at the same time. Limits of
 /// organisations are not reduced: their tolerated overage covers it.
-fn as_deputy(subject: Subject, ask: Charge) -> Charge {
+fn as_deputy(subject: Subject, charge: Charge) -> Charge {
     match subject {
-        Subject::Organisation(_) => ask,
-        Subject::Endpoint(_) => Charge { limit: limits::backup_limit(ask.limit), ..ask },
+        Subject::Organisation(_) => charge,
+        Subject::Endpoint(_) => Charge { limit: limits::backup_limit(charge.limit), ..charge },
     }
 }
 
 /// Decides on a request as the limit's owner, or in the owner's place.
-fn decide_as_owner(node: &Node, subject: Subject, mut ask: Charge) -> Decision {
+fn decide_as_owner(node: &Node, subject: Subject, mut charge: Charge) -> Decision {
     let now = node.now();
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
-        ask = as_deputy(subject, ask);
+        charge = as_deputy(subject, charge);
     }
     let (seen, known) = lock(&node.members).live_and_serving(now);
     let share = seen as f64 / known as f64;
-    let verdict = lock(&node.limiter(subject).owned).decide(ask, share, now);
-    match (subject, verdict) {
+    let decision = lock(&node.limiter(subject).owned).decide(charge, share, now);
+    match (subject, decision) {
         (Subject::Endpoint(endpoint), Decision::OverLimit { wait }) => {
-            let wait = lock(&node.queues).join(endpoint, ask.limit.units_per_second, wait, now);
+            let wait = lock(&node.queues).join(endpoint, charge.limit.units_per_second, wait, now);
             Decision::OverLimit { wait }
         }
-        _ => verdict,
+        _ => decision,
     }
 }
 
 /// Queries an owner over the network; `None` without a reply in time.
-async fn query(node: &Node, subject: Subject, ask: Charge, owner: IpAddr) -> Option<Decision> {
-    let cost = ask.cost;
+async fn query(node: &Node, subject: Subject, charge: Charge, owner: IpAddr) -> Option<Decision> {
+    let cost = charge.cost;
     let latest = match subject {
         Subject::Organisation(_) => None,
         Subject::Endpoint(endpoint) => node.limits().latest(endpoint),
@@ -312,11 +312,11 @@
         // The endpoint no longer names a limit; the querying node gets that update separately.
         Subject::Endpoint(endpoint) => (limit::endpoint_limit(node, endpoint), Decision::Granted),
     };
-    let verdict = limit.map_or(default, |limit| {
-        let ask = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
-        decide_as_owner(node, subject, ask)
+    let decision = limit.map_or(default, |limit| {
+        let charge = Charge { subject: subject.tag(), limit, cost, draw: rand::random() };
+        decide_as_owner(node, subject, charge)
     });
-    Message::QuotaReply { number, subject, verdict }
+    Message::QuotaReply { number, subject, decision }
 }
 
 /// Configured limit of an organisation.
