--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -52,7 +52,7 @@
 pub const BARRED: &str = "barred";
 /// A request was rejected because its organisation is over its limit.
 pub const OVER_QUOTA: &str = "over_quota";
-/// An endpoint announced, changed or withdrew a rate limit that all nodes share.
+/// An endpoint named, changed or withdrew a rate limit that all nodes share.
 pub const LIMIT: &str = "limit";
 /// A request was not sent to an endpoint because its rate limit is used up.
 pub const HELD_BACK: &str = "held_back";
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,12 +4,12 @@
 //! `reserve` reserves decode memory, `cache` finds cached prompts, `idle` pools idle connections, `stall` detects stalled endpoints and
 //! `relay` passes streams on. `server` starts and stops the node, and `shutdown` decides which requests it accepts meanwhile.
 //!
-//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` shuts out requests
-//! that crash endpoints, and `rulings` stores these decisions.
+//! Limits: `limit` enforces the rate limits that endpoints name, `quota` those of organisations. `quarantine` shuts out
+//! requests that crash endpoints, and `rulings` stores these decisions.
 //!
 //! State: `follower` replicates the store into the `mirror`, `peers` and `pull` synchronise it between nodes, and `directory`
-//! decodes endpoints from it. `duty` assigns stages to engines, and `pause` detects that the VM was suspended. Decisions are
-//! made in the coordination crate.
+//! decodes endpoints from it. `orders` assigns stages to engines, and `suspension` detects that the VM was suspended.
+//! Decisions are made in the coordination crate.
 
 pub mod cache;
 pub mod control;
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -70,7 +70,7 @@
     apply_updates(node, &[(endpoint, theirs)], from);
     let ours = node.limits().latest(endpoint);
     if let Some(ours) = ours.filter(|ours| *ours != theirs) {
-        peers::try_send(node, &Message::Limits { limits: vec![(endpoint, ours)] }, from);
+        peers::try_send(node, &Message::Limits { updates: vec![(endpoint, ours)] }, from);
     }
 }
 
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -52,12 +52,12 @@
     pub limits_digest: u64,
 }
 
-/// Owner of a rate limit.
+/// Subject of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subject {
     /// An organisation, whose limit is configured.
     Organisation(Tag),
-    /// An endpoint, which announces its limit.
+    /// An endpoint, which names its limit.
     Endpoint(Tag),
 }
 
@@ -93,8 +93,8 @@
     Suspicions {
         /// Tag of the sender's VM.
         vm: Tag,
-        /// Suspicions by request.
-        suspicions: Vec<(Fingerprint, suspicion::Update)>,
+        /// Updates by request.
+        updates: Vec<(Fingerprint, suspicion::Update)>,
     },
     /// Digest of the rulings that the sender has, sent after each heartbeat while there are any.
     RulingsDigest {
@@ -103,36 +103,36 @@
     },
     /// Request for all rulings.
     RulingsRequest,
-    /// Rate limits that endpoints announce, as the sender has them.
+    /// Rate limits that endpoints name, as the sender has them.
     Limits {
-        /// Limits by endpoint.
-        limits: Vec<(Tag, LimitUpdate)>,
+        /// Updates by endpoint.
+        updates: Vec<(Tag, LimitUpdate)>,
     },
-    /// Request for all rate limits that endpoints announce.
+    /// Request for all rate limits that endpoints name.
     LimitsRequest,
-    /// Asks the node that owns a limit to grant a request.
+    /// Query to the node that owns a limit, whether it grants a request.
     QuotaRequest {
-        /// Number of the question, repeated in the answer.
+        /// Number of the query, repeated in the reply.
         number: u32,
-        /// Owner of the limit.
+        /// Subject of the limit.
         subject: Subject,
         /// Cost of the request.
         cost: u32,
         /// The limit as the sender has it, if it is one of an endpoint.
         limit: Option<LimitUpdate>,
     },
-    /// Answer of the node that owns the limit.
+    /// Reply of the node that owns the limit.
     QuotaReply {
-        /// Number of the question, repeated in the answer.
+        /// Number of the query, repeated in the reply.
         number: u32,
-        /// Owner of the limit.
+        /// Subject of the limit.
         subject: Subject,
-        /// The answer.
+        /// Its decision.
         decision: quota::Decision,
     },
     /// Refunds a grant that was not used.
     QuotaRefund {
-        /// Owner of the limit.
+        /// Subject of the limit.
         subject: Subject,
         /// Cost of the request that was not sent.
         cost: u32,
@@ -318,7 +318,7 @@
 
     /// Number of nodes that share the retry budget, including this one. A node that fell silent may
     /// have spent from it until its next heartbeat was due, which counts for one window. During the
-    /// first window of this node, nodes that were never heard count too: after a restart of all
+    /// first window of this node, nodes without any heartbeat count too: after a restart of all
     /// nodes, each would otherwise take most of the budget.
     pub fn retry_budget_sharers(&self, now: Millis) -> usize {
         let starting = now < Millis(self.retry_window_ms);
@@ -341,7 +341,7 @@
     }
 
     /// Number of live nodes, and of nodes that may serve callers, both including this one. During
-    /// the first window of this node, nodes that were never heard count as serving.
+    /// the first window of this node, nodes without any heartbeat count as serving.
     pub fn live_and_serving(&self, now: Millis) -> (usize, usize) {
         let starting = now < Millis(self.retry_window_ms);
         let serves = |member: &&Member| {
@@ -370,10 +370,10 @@
         let predecessors = self.live(now).filter(|(_, member)| {
             member.domain == self.domain && member.active && member.vm < self.vm
         });
-        let (rank, fed) = predecessors.fold((0, 0), |(rank, fed), (_, member)| {
-            (rank + 1, fed + usize::from(member.store_reachable))
+        let (rank, reading) = predecessors.fold((0, 0), |(rank, reading), (_, member)| {
+            (rank + 1, reading + usize::from(member.store_reachable))
         });
-        if rank < READERS_PER_DOMAIN || fed >= READERS_PER_DOMAIN {
+        if rank < READERS_PER_DOMAIN || reading >= READERS_PER_DOMAIN {
             self.readers_missing_since = None;
             return rank < READERS_PER_DOMAIN;
         }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -95,7 +95,7 @@
     pub configuration_pulled: Notify,
     /// Wakes the broadcast of suspicions about requests that may crash endpoints.
     pub suspicions_changed: Notify,
-    /// Wakes the broadcast of rate limits that endpoints announce.
+    /// Wakes the broadcast of rate limits that endpoints name.
     pub limits_changed: Notify,
     /// Wakes the writer of rulings to the store.
     pub rulings_changed: Notify,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Rate limits that endpoints announce.
+    /// Rate limits that endpoints name.
     pub fn limits(&self) -> MutexGuard<'_, Limits> {
         lock(&self.limits)
     }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -3,7 +3,7 @@
 
 use crate::event;
 use crate::node::{Node, lock};
-use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record as Held, Step};
+use crosslane_coordination::lease::{Lease, ORDER_WINDOW, Record, Step};
 use crosslane_coordination::stages::{Change, Planner};
 use crosslane_platform::engine::{self, Order};
 use crosslane_platform::store::{Client, Error};
@@ -62,12 +62,12 @@
     if changes(node, plans).is_empty() {
         return;
     }
-    let began = node.now();
+    let started_at = node.now();
     match acquire(node, client, lease, plans).await {
         Ok(Some((fence, changes))) => {
             info!(fence, orders = changes.len(); "{}", event::LEASE);
             for (service, change) in changes {
-                if node.now().since(began) < ORDER_WINDOW {
+                if node.now().since(started_at) < ORDER_WINDOW {
                     plans.entry(service).or_default().record_own_order(change, node.now());
                     tokio::spawn(send_order(node.clone(), change, fence));
                 }
@@ -91,13 +91,13 @@
         |name: &str| table.services.get(name).is_some_and(|service| service.engine.is_some());
     let now = node.now();
     let pool = node.pool();
-    let mut wanted = Vec::new();
+    let mut needed = Vec::new();
     for (service, engines) in pool.engines().into_iter().filter(|entry| has_engines(entry.0)) {
         let plan = plans.entry(service.to_owned()).or_default();
         let changes = plan.changes(&engines, now).into_iter();
-        wanted.extend(changes.map(|change| (service.to_owned(), change)));
+        needed.extend(changes.map(|change| (service.to_owned(), change)));
     }
-    wanted
+    needed
 }
 
 /// Adds the orders of an earlier holder to the plans, except for those that are carried out
@@ -138,8 +138,8 @@
     if changes.is_empty() {
         return Ok(None);
     }
-    let held = Held { holder: record.map(|record| record.holder), end: page.end };
-    let Step::Append { end } = lease.step(&held, node.now()) else {
+    let current = Record { holder: record.map(|record| record.holder), end: page.end };
+    let Step::Append { end } = lease.step(&current, node.now()) else {
         return Ok(None);
     };
     let orders = orders(node, &changes);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -6,7 +6,7 @@
 //! at once, pulls it from the sender. So only a few nodes need to read the store, and those that it
 //! rejects follow the others.
 //!
-//! Between heartbeats a node tells near nodes at once which requests began and ended at an engine,
+//! Between heartbeats a node reports to near nodes at once when requests begin or end at an engine,
 //! since a prefill is over before the next heartbeat.
 //!
 //! `members` says which nodes read the store.
@@ -61,7 +61,7 @@
 const ANNOUNCE_FANOUT: usize = 8;
 
 /// Pause after a broadcast of limits. Changes during the pause go into one message, even if an
-/// endpoint announces another limit in each answer.
+/// endpoint names another limit in each answer.
 const LIMITS_PAUSE: Duration = Duration::from_millis(20);
 
 /// Entries in a datagram: some 100 bytes each.
@@ -289,34 +289,34 @@
 async fn broadcast_suspicions(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.suspicions_changed.notified().await;
-        let suspicions = node.quarantine().take_outbox();
+        let updates = node.quarantine().take_outbox();
         let addresses = lock(&node.members).addresses(Scope::Live, node.now());
-        send_suspicions(&node, &socket, suspicions, &addresses).await;
+        send_suspicions(&node, &socket, updates, &addresses).await;
     }
 }
 
 async fn send_suspicions(
     node: &Node,
     socket: &UdpSocket,
-    suspicions: Vec<(Fingerprint, Update)>,
+    updates: Vec<(Fingerprint, Update)>,
     addresses: &[IpAddr],
 ) {
-    for chunk in suspicions.chunks(DATAGRAM_ENTRIES) {
-        let message = Message::Suspicions { vm: node.tag(), suspicions: chunk.to_vec() };
+    for chunk in updates.chunks(DATAGRAM_ENTRIES) {
+        let message = Message::Suspicions { vm: node.tag(), updates: chunk.to_vec() };
         send(node, socket, &message, addresses).await;
     }
 }
 
-/// Broadcasts rate limits that endpoints announced, changed or withdrew.
+/// Broadcasts rate limits that endpoints named, changed or withdrew.
 async fn broadcast_limits(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
         node.limits_changed.notified().await;
-        let changes = node.limits().take_outbox();
+        let outbox = node.limits().take_outbox();
         let live = lock(&node.members).addresses(Scope::Live, node.now());
-        send_limits(&node, &socket, changes.all, &live).await;
-        for (endpoint, limit) in changes.owners {
+        send_limits(&node, &socket, outbox.all, &live).await;
+        for (endpoint, update) in outbox.owners {
             let owners = lock(&node.members).owners(endpoint, node.now());
-            send_limits(&node, &socket, vec![(endpoint, limit)], &owners).await;
+            send_limits(&node, &socket, vec![(endpoint, update)], &owners).await;
         }
         sleep(LIMITS_PAUSE).await;
     }
@@ -325,11 +325,11 @@
 async fn send_limits(
     node: &Node,
     socket: &UdpSocket,
-    entries: Vec<(Tag, limits::Update)>,
+    updates: Vec<(Tag, limits::Update)>,
     addresses: &[IpAddr],
 ) {
-    for chunk in entries.chunks(DATAGRAM_ENTRIES) {
-        send(node, socket, &Message::Limits { limits: chunk.to_vec() }, addresses).await;
+    for chunk in updates.chunks(DATAGRAM_ENTRIES) {
+        send(node, socket, &Message::Limits { updates: chunk.to_vec() }, addresses).await;
     }
 }
 
@@ -345,17 +345,17 @@
 /// its failure domain.
 async fn send_unruled_suspicions(node: &Node, socket: &UdpSocket, to: IpAddr) {
     if lock(&node.members).is_store_reader(node.now()) {
-        let suspicions = node.quarantine().known_strikes();
-        send_suspicions(node, socket, suspicions, &[to]).await;
+        let updates = node.quarantine().known_strikes();
+        send_suspicions(node, socket, updates, &[to]).await;
     }
 }
 
 /// Sends all rulings to a node that asked for them.
 async fn send_rulings(node: &Node, socket: &UdpSocket, to: IpAddr) {
     let rulings: Vec<_> = node.quarantine().rulings().collect();
-    let suspicions =
+    let updates =
         rulings.into_iter().map(|(request, ruling)| (request, Update::Ruled(ruling))).collect();
-    send_suspicions(node, socket, suspicions, &[to]).await;
+    send_suspicions(node, socket, updates, &[to]).await;
 }
 
 async fn send(node: &Node, socket: &UdpSocket, message: &Message, addresses: &[IpAddr]) {
@@ -417,8 +417,8 @@
                 lock(&node.members).record_offsets(from.ip(), offsets);
                 node.record_peer_offsets(offsets);
             }
-            Ok(Message::Suspicions { vm, suspicions }) => {
-                quarantine::apply_updates(&node, vm, suspicions)
+            Ok(Message::Suspicions { vm, updates }) => {
+                quarantine::apply_updates(&node, vm, updates)
             }
             Ok(Message::RulingsDigest { digest }) => {
                 if digest != node.quarantine().digest()
@@ -427,10 +427,10 @@
                     send(&node, &socket, &Message::RulingsRequest, &[from.ip()]).await;
                 }
             }
-            Ok(Message::Limits { limits }) => limit::apply_updates(&node, &limits, from.ip()),
+            Ok(Message::Limits { updates }) => limit::apply_updates(&node, &updates, from.ip()),
             Ok(Message::LimitsRequest) => {
-                let limits = node.limits().snapshot();
-                send_limits(&node, &socket, limits, &[from.ip()]).await;
+                let updates = node.limits().snapshot();
+                send_limits(&node, &socket, updates, &[from.ip()]).await;
             }
             Ok(Message::QuotaRequest { number, subject, cost, limit }) => {
                 limit::sync_with_querier(&node, subject, limit, from.ip());
@@ -455,7 +455,7 @@
 }
 
 /// Minimum time between two requests for all limits, in milliseconds. In a large fleet endpoints
-/// begin and cease to announce limits all the time, so the digests of two nodes are rarely equal. A
+/// begin and cease to name limits all the time, so the digests of two nodes are rarely equal. A
 /// node also learns limits from answers of endpoints and from the owners.
 fn limits_ask_pause_ms(node: &Node) -> u64 {
     ASK_PAUSE_MS.max(2 * lock(&node.members).interval().near)
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -54,8 +54,8 @@
     let mut may_have_run = false;
     let mut reason = Reason::NoEndpoint;
     let mut error_response: Option<Response<Reply>> = None;
-    while let Some(place) = attempts.next() {
-        match attempts.attempt(place).await {
+    while let Some(choice) = attempts.next() {
+        match attempts.attempt(choice).await {
             Ok(Attempt::Final(response)) => return Ok(response),
             Ok(Attempt::Error(response)) => {
                 attempts.sent += 1;
@@ -108,12 +108,12 @@
 impl Attempts<'_> {
     /// Chooses the endpoint for the next attempt, if there is one and a retry is allowed.
     fn next(&mut self) -> Option<(Key, f64)> {
-        let place = match self.failover.take() {
-            Some(place) => place,
+        let choice = match self.failover.take() {
+            Some(choice) => choice,
             None => self.choose(self.sent > 0)?,
         };
-        self.tried.push(place.0);
-        Some(place)
+        self.tried.push(choice.0);
+        Some(choice)
     }
 
     /// Chooses the best untried endpoint; a retry is taken from the budget.
@@ -129,12 +129,12 @@
             room: None,
             exclude: except,
         };
-        let place = self.node.pool().choose(query, self.node.now())?;
+        let choice = self.node.pool().choose(query, self.node.now())?;
         if retries && !self.node.take_retry(service) {
             self.node.metrics.count_retry(Retry::DeniedBudget);
             return None;
         }
-        Some(place)
+        Some(choice)
     }
 
     /// Whether the next attempt is the last one.
@@ -142,12 +142,12 @@
         self.sent + 1 >= self.route.max_attempts
     }
 
-    async fn attempt(&mut self, place: (Key, f64)) -> Result<Attempt, Failure> {
-        let attempt = send_once(self.node, self.route, self.call, place, self.is_last());
+    async fn attempt(&mut self, choice: (Key, f64)) -> Result<Attempt, Failure> {
+        let attempt = send_once(self.node, self.route, self.call, choice, self.is_last());
         if self.is_last() || self.route.kind != Kind::Safe {
             return attempt.await;
         }
-        match self.unless_stalled(place.0, attempt).await {
+        match self.unless_stalled(choice.0, attempt).await {
             Ok(attempted) => attempted,
             Err(failover) => {
                 self.failover = Some(failover);
@@ -176,10 +176,10 @@
     node: &Arc<Node>,
     route: &Route,
     call: &Call,
-    place: (Key, f64),
+    choice: (Key, f64),
     last: bool,
 ) -> Result<Attempt, Failure> {
-    let slot = Slot::acquire(node, place, 0);
+    let slot = Slot::acquire(node, choice, 0);
     let until = call.deadline.instant();
     let answer = exchange::send(call, slot, &Purpose::Run, until).await?;
     Metrics::observe(&node.metrics.first_byte, call.arrived.elapsed());
--- a/crates/gateway/src/pull.rs
+++ b/crates/gateway/src/pull.rs
@@ -72,7 +72,7 @@
     known: u64,
     /// Highest offset of the topic that any node has announced.
     announced: u64,
-    began: Millis,
+    started_at: Millis,
     parts: usize,
     bytes: usize,
 }
@@ -81,7 +81,7 @@
     fn new(node: &'a Node, topic: Topic, from: IpAddr) -> Self {
         let known = node.mirror().offsets().of(topic);
         let announced = node.peer_offsets.borrow().of(topic);
-        Self { node, topic, from, known, announced, began: node.now(), parts: 0, bytes: 0 }
+        Self { node, topic, from, known, announced, started_at: node.now(), parts: 0, bytes: 0 }
     }
 
     async fn connect(&self) -> io::Result<PeerClient> {
@@ -104,7 +104,7 @@
     /// Logs and counts the outcome, and waits if the next pull can't succeed yet. Takes and returns
     /// the number of consecutive pulls that ended at busy nodes.
     async fn finish(self, result: io::Result<Outcome>, busy_in_a_row: u32) -> u32 {
-        let took_ms = self.node.now().since(self.began);
+        let took_ms = self.node.now().since(self.started_at);
         Metrics::observe(&self.node.metrics.pull, Duration::from_millis(took_ms));
         let now = self.current_offset();
         let Self { node, topic, from, known, announced: told, parts: pieces, bytes, .. } = self;
@@ -166,11 +166,11 @@
     async fn configuration(&mut self, download: &mut Download) -> io::Result<Outcome> {
         let peer = self.connect().await?;
         loop {
-            let held = self.current_offset();
-            if held >= self.announced {
+            let known = self.current_offset();
+            if known >= self.announced {
                 return Ok(Outcome::Complete);
             }
-            let call = peer.configuration(context::current(), download.request(held));
+            let call = peer.configuration(context::current(), download.request(known));
             let chunk = match timeout(CALL_TIMEOUT, call).await?.map_err(io::Error::other)? {
                 Answer::Data(chunk) => chunk,
                 Answer::Busy => return Ok(Outcome::Busy),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -50,7 +50,7 @@
 impl Checks {
     /// Whether an endpoint is gone. Concurrent requests share a check; only the result `true` is remembered, since a live
     /// endpoint may be gone at the next check.
-    async fn gone(&self, endpoint: &Endpoint) -> bool {
+    async fn is_gone(&self, endpoint: &Endpoint) -> bool {
         let tag = endpoint.tag();
         let cell = {
             let mut checks = lock(&self.0);
@@ -218,20 +218,20 @@
         // No evidence against the request, but used to detect that many endpoints end together.
         let (node, endpoint) = (node.clone(), endpoint.clone());
         tokio::spawn(async move {
-            if node.liveness_checks.gone(&endpoint).await {
+            if node.liveness_checks.is_gone(&endpoint).await {
                 node.quarantine().record_crash(endpoint.tag(), node.now());
             }
         });
         return;
     }
-    if node.liveness_checks.gone(endpoint).await {
+    if node.liveness_checks.is_gone(endpoint).await {
         strike(node, request, fingerprint, endpoint);
         return;
     }
     let (node, endpoint, request) = (node.clone(), endpoint.clone(), request.to_owned());
     tokio::spawn(async move {
         sleep(LAST_CHECK_DELAY).await;
-        if node.liveness_checks.gone(&endpoint).await {
+        if node.liveness_checks.is_gone(&endpoint).await {
             strike(&node, &request, fingerprint, &endpoint);
         }
     });
@@ -252,28 +252,28 @@
         let node = node.clone();
         tokio::spawn(async move {
             sleep(Duration::from_millis(JOINT_CRASH_WINDOW_MS)).await;
-            settle(&node);
+            make_rulings(&node);
         });
     }
 }
 
 /// Shuts out requests with enough strikes, and lifts the rulings on those whose strikes another request that is shut out
 /// explains.
-fn settle(node: &Node) {
+fn make_rulings(node: &Node) {
     let (now, unix) = (node.now(), clock::unix());
-    let (shut, acquitted) = {
+    let (shut_out, lifted) = {
         let mut quarantine = node.quarantine();
         (quarantine.shut_out_due(now, unix), quarantine.lift_superseded(now, unix))
     };
     let for_s = SHUT_OUT_MS / 1_000;
-    for fingerprint in &shut {
+    for fingerprint in &shut_out {
         warn!(fingerprint:%, verdict:% = Verdict::Shut, source = "here", for_s; "{}", event::RULED);
     }
-    for fingerprint in &acquitted {
+    for fingerprint in &lifted {
         let why = "another request is shut out for it";
         warn!(fingerprint:%, verdict:% = Verdict::Lifted, source = "here", why; "{}", event::RULED);
     }
-    if !shut.is_empty() || !acquitted.is_empty() {
+    if !shut_out.is_empty() || !lifted.is_empty() {
         node.rulings_changed.notify_one();
         node.suspicions_changed.notify_one();
     }
@@ -298,7 +298,7 @@
     if node.quarantine().is_empty() {
         return;
     }
-    settle(node);
+    make_rulings(node);
     let mut quarantine = node.quarantine();
     for fingerprint in quarantine.expire(node.now(), clock::unix()) {
         info!(fingerprint:%, why = "its time is over"; "{}", event::FORGOTTEN);
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -236,8 +236,8 @@
             return (decision, Source::Owner(owner));
         }
     }
-    let (_, known) = lock(&node.members).live_and_serving(node.now());
-    let share = 1.0 / known as f64;
+    let (_, serving) = lock(&node.members).live_and_serving(node.now());
+    let share = 1.0 / serving as f64;
     let charge = as_deputy(subject, charge);
     (lock(&limiter.shares).decide_alone(charge, share, node.now()), Source::EvenShare)
 }
@@ -279,8 +279,8 @@
     if matches!(subject, Subject::Endpoint(_)) && !owns(node, subject) {
         charge = as_deputy(subject, charge);
     }
-    let (seen, known) = lock(&node.members).live_and_serving(now);
-    let share = seen as f64 / known as f64;
+    let (live, serving) = lock(&node.members).live_and_serving(now);
+    let share = live as f64 / serving as f64;
     let decision = lock(&node.limiter(subject).owned).decide(charge, share, now);
     match (subject, decision) {
         (Subject::Endpoint(endpoint), Decision::OverLimit { wait }) => {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -178,10 +178,10 @@
         self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
         let (source, key) =
             self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
-        let place = self.generation.choose_decode(FULL_UTILIZATION, &[key])?;
-        let target = self.generation.node.pool().get(place.0).cloned()?;
+        let choice = self.generation.choose_decode(FULL_UTILIZATION, &[key])?;
+        let target = self.generation.node.pool().get(choice.0).cloned()?;
         let mut slot =
-            Slot::acquire(&self.generation.node, place, self.generation.expected_tokens());
+            Slot::acquire(&self.generation.node, choice, self.generation.expected_tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
         slot.acquire_permit(&self.generation.call.metadata.id).await.ok()?;
         if !self.generation.node.take_retry(&self.generation.service) {
--- a/crates/gateway/src/reserve.rs
+++ b/crates/gateway/src/reserve.rs
@@ -44,9 +44,9 @@
 
     /// Output tokens that the request is expected to generate.
     fn output_tokens(&self) -> u32 {
-        let ask = &self.call.metadata;
-        let default = (f64::from(ask.most) * DEFAULT_OUTPUT_SHARE) as u32;
-        ask.hint.unwrap_or(default).min(ask.most)
+        let metadata = &self.call.metadata;
+        let default = (f64::from(metadata.most) * DEFAULT_OUTPUT_SHARE) as u32;
+        metadata.hint.unwrap_or(default).min(metadata.most)
     }
 
     /// Reserves memory at a decode engine other than `except`, and waits for it until a time.
@@ -88,12 +88,12 @@
         tried.extend(except);
         let excluded = tried.len();
         while tried.len() < excluded + MAX_ENGINES_PER_ROUND {
-            let Some(place) = self.choose_decode(self.timeliness.max_utilization(), &tried) else {
+            let Some(choice) = self.choose_decode(self.timeliness.max_utilization(), &tried) else {
                 return Err(if tried.len() == excluded { "memory" } else { "reservations" });
             };
-            match self.reserve_on(place, tokens).await {
+            match self.reserve_on(choice, tokens).await {
                 Some(reservation) => return Ok(reservation),
-                None => tried.push(place.0),
+                None => tried.push(choice.0),
             }
         }
         Err("reservations")
@@ -109,10 +109,10 @@
     }
 
     /// Reserves memory at one engine.
-    async fn reserve_on(&self, place: (Key, f64), tokens: u32) -> Option<Reservation> {
-        let key = place.0;
+    async fn reserve_on(&self, choice: (Key, f64), tokens: u32) -> Option<Reservation> {
+        let key = choice.0;
         let engine = self.node.pool().get(key).cloned()?;
-        let mut slot = Slot::acquire(&self.node, place, self.expected_tokens());
+        let mut slot = Slot::acquire(&self.node, choice, self.expected_tokens());
         // Before memory is reserved, which would stay unused without a permit.
         slot.acquire_permit(&self.call.metadata.id).await.ok()?;
         let request = engine::take_hold(&engine, tokens, self.engine.max_hold_ms);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -246,21 +246,21 @@
     /// Prefills the prompt at an engine that caches it, or else at the best one that is below its rate limit.
     async fn prefill(&self, mut cached_at: Option<Key>) -> Option<(Key, Handle)> {
         for _ in 0..MAX_PREFILL_ENGINES {
-            let place = match cached_at.take() {
+            let choice = match cached_at.take() {
                 Some(key) => (key, 0.0),
                 None => self.choose_prefill()?,
             };
-            match self.prefill_at(place).await {
+            match self.prefill_at(choice).await {
                 Err(Failure::RateLimited) => {}
-                prefilled => return Some((place.0, prefilled.ok()??)),
+                prefilled => return Some((choice.0, prefilled.ok()??)),
             }
         }
         None
     }
 
-    async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
+    async fn prefill_at(&self, choice: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let started_at = Instant::now();
-        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt);
+        let slot = Slot::acquire(&self.node, choice, self.call.metadata.prompt);
         let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -161,7 +161,7 @@
     let streams =
         MEAN_USAGE * case.engines as f64 * ENGINE_TOKENS as f64 / f64::from(STREAM_TOKENS);
     let stream_probability = streams / mean * STEP_MS as f64 / (case.nodes - 1) as f64;
-    // Time until every node has been heard often enough, at the start and after the crash.
+    // Time until every node has sent enough heartbeats, at the start and after the crash.
     let settle_ms = 3 * interval.far + STREAM_MS.end;
     let mut errors = Vec::new();
     for now in (0..END_MS).step_by(STEP_MS as usize) {
--- a/crates/gateway/tests/sse.rs
+++ b/crates/gateway/tests/sse.rs
@@ -5,23 +5,23 @@
 
 struct Case {
     name: &'static str,
-    pieces: &'static [&'static [u8]],
+    chunks: &'static [&'static [u8]],
     forwarded: &'static [u8],
     last_id: Option<u64>,
     partial: bool,
 }
 
 #[rstest]
-#[case(Case { name: "one event", pieces: &[b"id: 1\ndata: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
-#[case(Case { name: "split within an event", pieces: &[b"id: 1\nda", b"ta: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
-#[case(Case { name: "split within the terminator", pieces: &[b"id: 1\n", b"\n"], forwarded: b"id: 1\n\n", last_id: Some(1), partial: false })]
-#[case(Case { name: "second event incomplete", pieces: &[b"id: 7\n\nid: 8\nda"], forwarded: b"id: 7\n\n", last_id: Some(7), partial: true })]
-#[case(Case { name: "two events", pieces: &[b"id:1\n\nid:2\n\n"], forwarded: b"id:1\n\nid:2\n\n", last_id: Some(2), partial: false })]
-#[case(Case { name: "no id", pieces: &[b"data: a\n\n"], forwarded: b"data: a\n\n", last_id: None, partial: false })]
+#[case(Case { name: "one event", chunks: &[b"id: 1\ndata: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "split within an event", chunks: &[b"id: 1\nda", b"ta: a\n\n"], forwarded: b"id: 1\ndata: a\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "split within the terminator", chunks: &[b"id: 1\n", b"\n"], forwarded: b"id: 1\n\n", last_id: Some(1), partial: false })]
+#[case(Case { name: "second event incomplete", chunks: &[b"id: 7\n\nid: 8\nda"], forwarded: b"id: 7\n\n", last_id: Some(7), partial: true })]
+#[case(Case { name: "two events", chunks: &[b"id:1\n\nid:2\n\n"], forwarded: b"id:1\n\nid:2\n\n", last_id: Some(2), partial: false })]
+#[case(Case { name: "no id", chunks: &[b"data: a\n\n"], forwarded: b"data: a\n\n", last_id: None, partial: false })]
 fn complete_events_are_forwarded(#[case] case: Case) {
     let mut events = Splitter::default();
     let complete: Vec<u8> =
-        case.pieces.iter().filter_map(|piece| events.push(piece)).flatten().collect();
+        case.chunks.iter().filter_map(|chunk| events.push(chunk)).flatten().collect();
     assert_eq!(complete, case.forwarded, "{}", case.name);
     assert_eq!(
         (events.last_id(), events.has_partial()),
