--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -147,7 +147,7 @@
         let until = self.generation.call.deadline.instant();
         let frame = timeout_at(until, answer.body.frame());
         let frame = self.generation.unless_stalled(at, attempts, frame).await;
-        Metrics::observe(&self.generation.node.meter.event_gap, started_at.elapsed());
+        Metrics::observe(&self.generation.node.metrics.event_gap, started_at.elapsed());
         match frame {
             Err(failover) => Chunk::Stalled(Box::new(failover)),
             Ok(Err(_)) => Chunk::Broken("time ran out"),
@@ -178,10 +178,10 @@
         self.move_at = Some(Instant::now() + MOVE_RETRY_INTERVAL);
         let (source, key) =
             self.answer.as_ref().map(|answer| (answer.endpoint.clone(), answer.key()))?;
-        let place = self.generation.choose_decode(FULL_UTILIZATION, &[key])?;
-        let target = self.generation.node.pool().get(place.0).cloned()?;
+        let choice = self.generation.choose_decode(FULL_UTILIZATION, &[key])?;
+        let target = self.generation.node.pool().get(choice.0).cloned()?;
         let mut slot =
-            Slot::acquire(&self.generation.node, place, self.generation.expected_tokens());
+            Slot::acquire(&self.generation.node, choice, self.generation.expected_tokens());
         // Before the run is stopped, since the target's rate limit must have room for it.
         slot.acquire_permit(&self.generation.call.metadata.id).await.ok()?;
         if !self.generation.node.take_retry(&self.generation.service) {
@@ -264,12 +264,12 @@
                 break denied;
             }
             let resumed = self.generation.retry_elsewhere(last).await;
-            self.generation.node.meter.count_retry(Retry::Resumed);
+            self.generation.node.metrics.count_retry(Retry::Resumed);
             let (outcome, retry) = match &resumed {
                 Ok(answer) if answer.parts.status.is_success() => ("resumed", false),
                 Ok(answer) => {
                     answer.record_outcome(Outcome::Error);
-                    // The response, and its probe run with it, is dropped before the next try.
+                    // The response, and its trial with it, is dropped before the next try.
                     ("not resumed", true)
                 }
                 Err(failure) => ("not resumed", failure.is_some_and(|known| !known.quarantined())),
@@ -300,7 +300,7 @@
             return Some("cut: no attempt left");
         }
         if !node.take_retry(service) {
-            node.meter.count_retry(Retry::DeniedBudget);
+            node.metrics.count_retry(Retry::DeniedBudget);
             return Some("cut: retry budget spent");
         }
         None
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -119,7 +119,7 @@
         let (mut reservation, kept) = self.reserve_near_cache(&hits, until).await?;
         // The wait for memory may have used up the time that a shutdown leaves it to end.
         shutdown::check(&self.node, &self.route, &self.service, self.call.remaining())?;
-        Metrics::observe(&self.node.meter.reservation_wait, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.metrics.reservation_wait, self.call.arrived.elapsed());
         let mut handle = match self.choose_reader(kept) {
             Prefiller::Decoding => None,
             Prefiller::Prefilling => self.first_prefill(hits.prefill).await?,
@@ -136,7 +136,7 @@
             Err(failure) => self.retry(failure).await?,
         };
         let stream = self.retry_error(answer).await;
-        Metrics::observe(&self.node.meter.first_byte, self.call.arrived.elapsed());
+        Metrics::observe(&self.node.metrics.first_byte, self.call.arrived.elapsed());
         Ok(match stream {
             Ok(answer) => self.relay(answer),
             Err(error) => plain::relay(&self.node, error, &self.call),
@@ -153,7 +153,7 @@
         if !self.route.kind.idempotent() {
             return Err(answer);
         }
-        answer.end_probe();
+        answer.end_trial();
         match self.retry(Failure::Broken).await {
             Ok(other) if other.parts.status.is_success() => Ok(other),
             Ok(_) | Err(_) => Err(answer),
@@ -234,7 +234,7 @@
     async fn first_prefill(&mut self, cached_at: Option<Key>) -> Result<Option<Handle>, Refusal> {
         let prefilled = self.prefill(cached_at).await;
         if prefilled.is_none() && !self.node.take_retry(&self.service) {
-            self.node.meter.count_retry(Retry::DeniedBudget);
+            self.node.metrics.count_retry(Retry::DeniedBudget);
             return Err(retry_later(Reason::Refused));
         }
         Ok(prefilled.map(|(at, handle)| {
@@ -246,21 +246,21 @@
     /// Prefills the prompt at an engine that caches it, or else at the best one that is below its rate limit.
     async fn prefill(&self, mut cached_at: Option<Key>) -> Option<(Key, Handle)> {
         for _ in 0..MAX_PREFILL_ENGINES {
-            let place = match cached_at.take() {
+            let choice = match cached_at.take() {
                 Some(key) => (key, 0.0),
                 None => self.choose_prefill()?,
             };
-            match self.prefill_at(place).await {
+            match self.prefill_at(choice).await {
                 Err(Failure::RateLimited) => {}
-                prefilled => return Some((place.0, prefilled.ok()??)),
+                prefilled => return Some((choice.0, prefilled.ok()??)),
             }
         }
         None
     }
 
-    async fn prefill_at(&self, place: (Key, f64)) -> Result<Option<Handle>, Failure> {
+    async fn prefill_at(&self, choice: (Key, f64)) -> Result<Option<Handle>, Failure> {
         let started_at = Instant::now();
-        let slot = Slot::acquire(&self.node, place, self.call.metadata.prompt_tokens);
+        let slot = Slot::acquire(&self.node, choice, self.call.metadata.prompt_tokens);
         let until = self.call.deadline.instant().min(started_at + PREFILL_TIMEOUT);
         let answer = exchange::send(&self.call, slot, &Purpose::Prefill, until).await?;
         let engine = answer.endpoint.clone();
@@ -269,7 +269,7 @@
         let Some(id) = engine::parse_kv_handle(&body) else {
             return Ok(None);
         };
-        Metrics::observe(&self.node.meter.prefill, started_at.elapsed());
+        Metrics::observe(&self.node.metrics.prefill, started_at.elapsed());
         Ok(Some(Handle::new(&self.node, engine, id)))
     }
 
@@ -335,7 +335,7 @@
             return None;
         }
         if !self.node.take_retry(&self.service) {
-            self.node.meter.count_retry(Retry::DeniedBudget);
+            self.node.metrics.count_retry(Retry::DeniedBudget);
             return None;
         }
         Some(Failover { reservation, handle })
@@ -357,10 +357,10 @@
         while !failure.quarantined() && self.attempts < self.route.max_attempts.max(1) {
             let prepaid = self.attempts == 0 || self.failover.is_some();
             if !prepaid && !self.node.take_retry(&self.service) {
-                self.node.meter.count_retry(Retry::DeniedBudget);
+                self.node.metrics.count_retry(Retry::DeniedBudget);
                 break;
             }
-            self.node.meter.count_retry(failure.into());
+            self.node.metrics.count_retry(failure.into());
             match self.retry_elsewhere(self.call.metadata.last_event_id).await {
                 Ok(answer) => return Ok(answer),
                 Err(None) => break,
