--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims on keys whose requests may not be repeated, recorded before anything is dispatched.
+//! Claims on the keys of non-repeatable requests, recorded before anything is dispatched.
 //!
-//! Claims are appended to the log in batches, one append at a time; the first claim of a key
-//! in the log's order wins, so a claim counts only once it has been read back. While the log
-//! is out a claim is copied to a node in another failure domain instead, and both append it
-//! when the log returns.
+//! Claims are appended to the log in batches, one append at a time. The first claim on a key in
+//! log order wins, so a claim is valid only once it has been read back. While the log is
+//! unavailable a claim is replicated to another node instead, preferably in another failure
+//! domain, and both nodes append it when the log is available again.
 
 use crate::metrics::Counter;
 use crate::node::Shared;
@@ -19,20 +19,20 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Time for a peer to take a copy.
-const COPY: Duration = Duration::from_millis(500);
+/// Timeout for replicating claims to a peer.
+const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for an appended claim to be read back.
-const READ_BACK: Duration = Duration::from_millis(1_000);
+/// Timeout for reading back an appended claim.
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What came of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claimed {
-    /// This node has it.
+    /// This node holds the claim.
     Mine,
     /// Another node claimed the key first.
     Elsewhere,
-    /// Neither log nor peer could take it.
+    /// Neither the log nor a peer accepted the claim.
     Unavailable,
 }
 
@@ -41,97 +41,98 @@
     Flush,
 }
 
-/// Records claims.
+/// Records claims, and holds replicas of the claims of other nodes.
 #[derive(Debug, Default)]
 pub struct Writer {
     actor: OnceLock<ActorRef<Message>>,
-    copies: Mutex<HashMap<Incarnation, HashSet<u64>>>,
-    read: watch::Sender<u64>,
+    replicas: Mutex<HashMap<Incarnation, HashSet<u64>>>,
+    next_offset: watch::Sender<u64>,
 }
 
-struct Task {
+struct Appender {
     shared: Arc<Shared>,
 }
 
 #[derive(Default)]
 struct State {
-    waiting: Vec<(u64, oneshot::Sender<Claimed>)>,
-    scheduled: bool,
+    pending: Vec<(u64, oneshot::Sender<Claimed>)>,
+    flush_scheduled: bool,
 }
 
 impl Writer {
-    /// Starts the actor that appends.
+    /// Starts the actor that appends claims.
     pub async fn start(shared: Arc<Shared>) -> Result<(), SpawnErr> {
-        let (actor, _) = Actor::spawn(None, Task { shared: shared.clone() }, ()).await?;
+        let (actor, _) = Actor::spawn(None, Appender { shared: shared.clone() }, ()).await?;
         let _ = shared.claims.actor.set(actor);
         Ok(())
     }
 
     /// Claims a key by its hash.
     pub async fn claim(&self, key: u64) -> Claimed {
-        let (reply, claimed) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         if let Some(actor) = self.actor.get() {
             let _ = actor.cast(Message::Claim(key, reply));
         }
-        claimed.await.unwrap_or(Claimed::Unavailable)
+        result.await.unwrap_or(Claimed::Unavailable)
     }
 
-    /// Notes that the claims before an offset have been read.
-    pub fn read_to(&self, next: u64) {
-        self.read.send_if_modified(|it| std::mem::replace(it, next) != next);
+    /// Sets the offset of the next claims record to read.
+    pub fn set_next_offset(&self, next: u64) {
+        self.next_offset.send_if_modified(|offset| std::mem::replace(offset, next) != next);
     }
 
-    /// Offset up to which claims have been read.
-    pub fn read_so_far(&self) -> u64 {
-        *self.read.borrow()
+    /// Offset of the next claims record to read.
+    pub fn next_offset(&self) -> u64 {
+        *self.next_offset.borrow()
     }
 
-    /// Takes copies of a member's claims; false when one may not stand.
-    pub async fn take_copies(&self, shared: &Shared, by: Incarnation, keys: Vec<u64>) -> bool {
-        let asked = keys.clone();
-        let stands = move |node: &mut Node, _| {
-            let member = node.state.roster.get(by).is_some();
-            member && asked.iter().all(|key| !node.claims.claimed_by_other(*key, by))
+    /// Stores replicas of a node's claims; false, storing none, if the node is no member or another
+    /// node claimed one of the keys.
+    pub async fn store_replicas(&self, shared: &Shared, by: Incarnation, keys: Vec<u64>) -> bool {
+        let checked = keys.clone();
+        let is_valid = move |node: &mut Node, _| {
+            let is_member = node.state.roster.get(by).is_some();
+            is_member && checked.iter().all(|key| !node.claims.claimed_by_other(*key, by))
         };
-        if !shared.keeper.visit(stands).await {
+        if !shared.keeper.visit(is_valid).await {
             return false;
         }
         self.lock().entry(by).or_default().extend(keys.iter().copied());
-        let note = move |node: &mut Node, now| {
+        let apply = move |node: &mut Node, now| {
             keys.iter().for_each(|key| node.claims.claim(*key, by, now));
         };
-        shared.keeper.visit(note).await;
+        shared.keeper.visit(apply).await;
         true
     }
 
-    /// Copies held of a node's claims.
-    pub fn copies_of(&self, by: Incarnation) -> Vec<u64> {
-        self.lock().get(&by).map(|it| it.iter().copied().collect()).unwrap_or_default()
+    /// Replicas held of a node's claims.
+    pub fn replicas_of(&self, by: Incarnation) -> Vec<u64> {
+        self.lock().get(&by).map(|keys| keys.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Appends all copies to the log and drops them; called when the log answers again.
-    pub async fn flush_copies(&self, shared: &Shared) {
-        let copies: Vec<_> = self.lock().iter().map(|(by, keys)| (*by, keys.clone())).collect();
-        for (by, keys) in copies {
+    /// Appends all replicas to the log and drops those appended; called when the log answers again.
+    pub async fn flush_replicas(&self, shared: &Shared) {
+        let replicas: Vec<_> = self.lock().iter().map(|(by, keys)| (*by, keys.clone())).collect();
+        for (by, keys) in replicas {
             let record = Claims { by, keys: keys.iter().copied().collect() };
             if shared.platform.append(CLAIMS_STREAM, vec![envelope::encode(&record)]).await.is_err()
             {
                 return;
             }
             let mut held = self.lock();
-            if let Some(left) = held.get_mut(&by) {
-                left.retain(|it| !keys.contains(it));
+            if let Some(remaining) = held.get_mut(&by) {
+                remaining.retain(|key| !keys.contains(key));
             }
-            held.retain(|_, left| !left.is_empty());
+            held.retain(|_, remaining| !remaining.is_empty());
         }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<Incarnation, HashSet<u64>>> {
-        self.copies.lock().unwrap_or_else(PoisonError::into_inner)
+        self.replicas.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Actor for Task {
+impl Actor for Appender {
     type Msg = Message;
     type State = State;
     type Arguments = ();
@@ -148,40 +149,41 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             Message::Claim(key, reply) => {
-                state.waiting.push((key, reply));
-                if !std::mem::replace(&mut state.scheduled, true) {
-                    let wait = Duration::from_millis(self.shared.settings.timing.claim_millis);
-                    myself.send_after(wait, || Message::Flush);
+                state.pending.push((key, reply));
+                if !std::mem::replace(&mut state.flush_scheduled, true) {
+                    let delay = Duration::from_millis(self.shared.settings.timing.claim_millis);
+                    myself.send_after(delay, || Message::Flush);
                 }
             }
             Message::Flush => {
-                state.scheduled = false;
-                let batch = std::mem::take(&mut state.waiting);
-                record(&self.shared, batch).await;
+                state.flush_scheduled = false;
+                let batch = std::mem::take(&mut state.pending);
+                record_batch(&self.shared, batch).await;
             }
         }
         Ok(())
     }
 }
 
-async fn record(shared: &Arc<Shared>, batch: Vec<(u64, oneshot::Sender<Claimed>)>) {
+/// Records a batch of claims in the log or with a peer, and replies to each claimant.
+async fn record_batch(shared: &Arc<Shared>, batch: Vec<(u64, oneshot::Sender<Claimed>)>) {
     let keys: Vec<u64> = batch.iter().map(|(key, _)| *key).collect();
-    let me = shared.me;
+    let own = shared.me;
     let logged = append(shared, &keys).await;
-    let copied = !logged && copy(shared, &keys).await;
-    if copied {
-        shared.claims.lock().entry(me).or_default().extend(keys.iter().copied());
+    let replicated = !logged && replicate(shared, &keys).await;
+    if replicated {
+        shared.claims.lock().entry(own).or_default().extend(keys.iter().copied());
     }
-    let judge = move |node: &mut Node, now| {
-        if copied {
-            keys.iter().for_each(|key| node.claims.claim(*key, me, now));
+    let resolve = move |node: &mut Node, now| {
+        if replicated {
+            keys.iter().for_each(|key| node.claims.claim(*key, own, now));
         }
-        let other = |key: &u64| node.claims.claimed_by_other(*key, me);
-        keys.iter().map(other).collect::<Vec<_>>()
+        let claimed_by_other = |key: &u64| node.claims.claimed_by_other(*key, own);
+        keys.iter().map(claimed_by_other).collect::<Vec<_>>()
     };
-    let taken = shared.keeper.visit(judge).await;
-    for ((_, reply), elsewhere) in batch.into_iter().zip(taken) {
-        let claimed = match (elsewhere, logged || copied) {
+    let lost = shared.keeper.visit(resolve).await;
+    for ((_, reply), elsewhere) in batch.into_iter().zip(lost) {
+        let claimed = match (elsewhere, logged || replicated) {
             (true, _) => Claimed::Elsewhere,
             (false, true) => Claimed::Mine,
             (false, false) => Claimed::Unavailable,
@@ -190,7 +192,7 @@
     }
 }
 
-/// Appends claims and waits until they have been read back.
+/// Appends claims to the log and waits until they have been read back.
 async fn append(shared: &Shared, keys: &[u64]) -> bool {
     if !shared.log_answers() {
         return false;
@@ -202,32 +204,33 @@
         shared.metrics.count(Counter::LogFailed);
         return false;
     };
-    let mut read = shared.claims.read.subscribe();
-    let seen = tokio::time::timeout(READ_BACK, read.wait_for(|it| *it > offset)).await;
-    let seen = matches!(seen, Ok(Ok(_)));
-    if seen {
+    let mut next_offset = shared.claims.next_offset.subscribe();
+    let caught_up =
+        tokio::time::timeout(READ_BACK_TIMEOUT, next_offset.wait_for(|next| *next > offset)).await;
+    let read_back = matches!(caught_up, Ok(Ok(_)));
+    if read_back {
         shared.metrics.add(Counter::Claims, keys.len() as u64);
     }
-    seen
+    read_back
 }
 
-/// Leaves copies with a live node, preferably in another failure domain.
-async fn copy(shared: &Shared, keys: &[u64]) -> bool {
+/// Replicates claims to a live node, preferably in another failure domain.
+async fn replicate(shared: &Shared, keys: &[u64]) -> bool {
     let domain = shared.settings.domain.clone();
     let candidates = move |node: &mut Node, now| {
         let mut peers: Vec<_> = node.neighbours().into_iter().cloned().collect();
-        peers.retain(|it| node.belief(it.incarnation, now) == Belief::Alive);
-        peers.sort_by_key(|it| it.domain == domain);
+        peers.retain(|peer| node.belief(peer.incarnation, now) == Belief::Alive);
+        peers.sort_by_key(|peer| peer.domain == domain);
         peers
     };
-    let me = shared.me;
+    let own = shared.me;
     for peer in shared.keeper.visit(candidates).await {
         let keys = keys.to_vec();
         let count = keys.len() as u64;
         let call = |client: PeerClient, context| async move {
-            client.replicate_claims(context, me, keys).await
+            client.replicate_claims(context, own, keys).await
         };
-        if shared.peers.call(peer.control, COPY, call).await == Ok(true) {
+        if shared.peers.call(peer.control, REPLICATE_TIMEOUT, call).await == Ok(true) {
             shared.metrics.add(Counter::ClaimCopies, count);
             return true;
         }
--- a/crates/transport/src/drain.rs
+++ b/crates/transport/src/drain.rs
@@ -1,4 +1,5 @@
-//! Leaving: no new work, everything in progress to its end, then what is known handed over.
+//! Drain: waits for the requests in progress, hands idempotency records over to the next owners
+//! of their keys, and records the departure.
 
 use crate::follower;
 use crate::node::{Phase, Shared};
@@ -12,41 +13,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between looks at what is left.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between two checks whether the drain has finished, and between two attempts to record
+/// the departure.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for a node to take endings.
-const HANDOVER: Duration = Duration::from_secs(5);
+/// Timeout of one handover call.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Endings handed over in one call.
-const CHUNK: usize = 500;
+/// Idempotency records handed over in one call.
+const HANDOVER_RECORDS: usize = 500;
 
-/// Tries to record the departure before it is left to the VM list.
-const DEPART_TRIES: usize = 5;
+/// Attempts to record the departure, after which the other nodes take it from the VM list.
+const DEPART_ATTEMPTS: usize = 5;
 
-/// Starts to leave, whether announced or told by a signal.
+/// Starts the drain, on an announced leave or on a signal.
 pub fn announce(shared: &Shared) {
     let since = shared.clock.now();
-    let leave = |phase: &mut Phase| {
-        let first = matches!(phase, Phase::Starting | Phase::Serving);
-        if first {
+    let start_drain = |phase: &mut Phase| {
+        let starts = matches!(phase, Phase::Starting | Phase::Serving);
+        if starts {
             *phase = Phase::Leaving { since };
         }
-        first
+        starts
     };
-    if shared.phase.send_if_modified(leave) {
+    if shared.phase.send_if_modified(start_drain) {
         info!(event = "leaving"; "");
-        let me = Leave {
+        let leave = Leave {
             id: format!("self/{}", shared.me),
             vm: shared.settings.vm.clone(),
             node: Some(shared.me),
         };
         let keeper = shared.keeper.clone();
-        tokio::spawn(async move { keeper.visit(move |node, _| node.add_leave(me)).await });
+        tokio::spawn(async move { keeper.visit(move |node, _| node.add_leave(leave)).await });
     }
 }
 
-/// Leaves once this VM is announced as leaving, and sees it through.
+/// Starts the drain once this VM is announced as leaving, and completes every started drain.
 pub async fn watch(shared: Arc<Shared>) {
     let vm = shared.settings.vm.clone();
     loop {
@@ -55,12 +57,12 @@
             announce(&shared);
         }
         if let Phase::Leaving { since } = *shared.phase.borrow() {
-            let age = shared.clock.now().since(since);
-            if age >= shared.settings.timing.drain_millis && idle(&shared) {
+            let drained_ms = shared.clock.now().since(since);
+            if drained_ms >= shared.settings.timing.drain_millis && idle(&shared) {
                 break;
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let released = hand_over(&shared).await;
     depart(&shared, released).await;
@@ -68,49 +70,50 @@
     shared.phase.send_replace(Phase::Stopped);
 }
 
+/// Whether no request and no attempt is in progress.
 fn idle(shared: &Shared) -> bool {
     shared.in_progress() == 0 && shared.flights.is_empty()
 }
 
-/// Gives every ending to the node that owns its key next; true when all were taken.
+/// Hands each idempotency record over to the next owner of its key; true if every call succeeded.
 async fn hand_over(shared: &Arc<Shared>) -> bool {
     let collect = |node: &mut Node, _| {
         let mut by_owner: BTreeMap<SocketAddr, Vec<IdempotencyRecord>> = BTreeMap::new();
         for (key, fingerprint, answer) in node.ledger.handover() {
-            let Some(next) = node.successor(&key).map(|it: &Member| it.control) else {
+            let Some(next) = node.successor(&key).map(|member: &Member| member.control) else {
                 continue;
             };
-            let answer = answer.map(|it| it.as_ref().clone());
+            let answer = answer.map(|shared_answer| shared_answer.as_ref().clone());
             by_owner.entry(next).or_default().push(IdempotencyRecord { key, fingerprint, answer });
         }
         by_owner
     };
-    let mut taken = true;
-    for (owner, endings) in shared.keeper.visit(collect).await {
-        for chunk in endings.chunks(CHUNK) {
+    let mut complete = true;
+    for (owner, records) in shared.keeper.visit(collect).await {
+        for chunk in records.chunks(HANDOVER_RECORDS) {
             let chunk = chunk.to_vec();
             let call =
                 |client: PeerClient, context| async move { client.handover(context, chunk).await };
-            if shared.peers.call(owner, HANDOVER, call).await.is_err() {
+            if shared.peers.call(owner, HANDOVER_TIMEOUT, call).await.is_err() {
                 warn!(event = "handover_failed", to:% = owner; "");
-                taken = false;
+                complete = false;
             }
         }
     }
-    taken
+    complete
 }
 
-/// Records that this node holds nothing more.
+/// Records in the log that this node has departed.
 async fn depart(shared: &Arc<Shared>, released: bool) {
     if !shared.is_member() {
         return;
     }
-    for _ in 0..DEPART_TRIES {
+    for _ in 0..DEPART_ATTEMPTS {
         let record = Record::Depart { incarnation: shared.me, released };
         if follower::append(shared, &record).await {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    warn!(event = "departure_unrecorded"; "the log is out; the VM list will tell");
+    warn!(event = "departure_unrecorded"; "the log is unavailable; other nodes will take the departure from the VM list");
 }
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -1,4 +1,4 @@
-//! Reading of the platform's log: the control stream is folded, claims are noted.
+//! Follower of the platform's log: folds the control stream and records claims.
 
 use crate::metrics::Counter;
 use crate::node::{Phase, Shared};
@@ -12,18 +12,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that a read waits for a new record.
-const WAIT: Duration = Duration::from_secs(5);
+/// How long a read waits for a new record.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after the log failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the log is read again after an error.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Follows the control stream until the process ends.
 pub async fn control(shared: Arc<Shared>) {
     loop {
-        match read_control(&shared, WAIT).await {
-            Ok(_) => log_up(&shared).await,
-            Err(()) => log_down(&shared).await,
+        match read_control(&shared, LONG_POLL_TIMEOUT).await {
+            Ok(_) => on_log_up(&shared).await,
+            Err(()) => on_log_down(&shared).await,
         }
     }
 }
@@ -31,18 +31,18 @@
 /// Follows the claims stream until the process ends.
 pub async fn claims(shared: Arc<Shared>) {
     loop {
-        if read_claims(&shared, WAIT).await.is_err() {
-            tokio::time::sleep(PAUSE).await;
+        if read_claims(&shared, LONG_POLL_TIMEOUT).await.is_err() {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Reads the control stream to its tail.
+/// Reads the control and the claims stream to their tails; false if the log fails.
 pub async fn catch_up(shared: &Arc<Shared>) -> bool {
     catch_up_control(shared).await && catch_up_claims(shared).await
 }
 
-/// Reads the claims stream to its tail.
+/// Reads the claims stream to its tail; false if the log fails.
 pub async fn catch_up_claims(shared: &Arc<Shared>) -> bool {
     loop {
         match read_claims(shared, Duration::ZERO).await {
@@ -53,6 +53,7 @@
     }
 }
 
+/// Reads the control stream to its tail; false if the log fails.
 async fn catch_up_control(shared: &Arc<Shared>) -> bool {
     loop {
         match read_control(shared, Duration::ZERO).await {
@@ -63,14 +64,14 @@
     }
 }
 
-/// Reads one page; true when it reached the tail.
+/// Reads one page of the control stream; true if it reached the tail.
 async fn read_control(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
     let from = shared.keeper.visit(|node, _| node.state.next_offset).await;
     match shared.platform.read(CONTROL_STREAM, from, wait).await {
-        Ok(Read::Page(page)) => fold(shared, page).await,
+        Ok(Read::Page(page)) => apply_page(shared, page).await,
         Ok(Read::Trimmed { first }) => {
-            warn!(event = "log_trimmed", from = from, first = first; "looking for a checkpoint");
-            bridge(shared, first).await
+            warn!(event = "log_trimmed", from = from, first = first; "the next record has been trimmed; looking for a checkpoint");
+            resume_from_checkpoint(shared, first).await
         }
         Err(error) => {
             info!(event = "log_failed"; "{error}");
@@ -79,8 +80,8 @@
     }
 }
 
-/// Scans what is kept for a checkpoint that continues from there.
-async fn bridge(shared: &Arc<Shared>, first: u64) -> Result<bool, ()> {
+/// Scans the records that the log still has for a checkpoint to continue from.
+async fn resume_from_checkpoint(shared: &Arc<Shared>, first: u64) -> Result<bool, ()> {
     let mut from = first;
     loop {
         let Ok(Read::Page(page)) = shared.platform.read(CONTROL_STREAM, from, Duration::ZERO).await
@@ -88,26 +89,27 @@
             return Err(());
         };
         from += page.records.len() as u64;
-        let tail = from >= page.tail;
-        fold(shared, page).await?;
+        let at_tail = from >= page.tail;
+        apply_page(shared, page).await?;
         let next = shared.keeper.visit(|node, _| node.state.next_offset).await;
         if next >= first {
             return Ok(false);
         }
-        if tail {
-            error!(event = "no_checkpoint"; "the log has forgotten records and has no checkpoint");
+        if at_tail {
+            error!(event = "no_checkpoint"; "the log was trimmed and holds no checkpoint");
             return Err(());
         }
     }
 }
 
-async fn fold(shared: &Arc<Shared>, page: Page) -> Result<bool, ()> {
+/// Folds one page of the control stream; true if it reached the tail.
+async fn apply_page(shared: &Arc<Shared>, page: Page) -> Result<bool, ()> {
     if page.records.is_empty() {
         return Ok(true);
     }
     let mut records = Vec::new();
-    for (place, text) in page.records.iter().enumerate() {
-        let offset = page.from + place as u64;
+    for (index, text) in page.records.iter().enumerate() {
+        let offset = page.from + index as u64;
         match Record::try_from(Raw(text)) {
             Ok(record) => records.push((offset, Some(record))),
             Err(Error::Malformed { message }) => {
@@ -116,7 +118,7 @@
                 records.push((offset, None));
             }
             Err(Error::NewerFormat { format }) => {
-                error!(event = "record_newer", offset = offset, format = format; "upgrade this node");
+                error!(event = "record_newer", offset = offset, format = format; "record format is newer than this build; upgrade this node");
                 shared.fence("newer_record");
                 return Err(());
             }
@@ -130,18 +132,18 @@
         node.refresh(now);
     };
     shared.keeper.visit(apply).await;
-    folded(shared).await;
+    apply_folded_state(shared).await;
     Ok(next >= page.tail)
 }
 
-/// Brings policy and the node's own standing in line with the folded log.
-pub async fn folded(shared: &Arc<Shared>) {
-    let me = shared.me;
+/// Updates the policy in force and the node's own membership from the folded log.
+pub async fn apply_folded_state(shared: &Arc<Shared>) {
+    let incarnation = shared.me;
     let (version, program, member) = shared
         .keeper
         .visit(move |node, _| {
             let program = node.state.program().map(str::to_owned);
-            (node.state.version(), program, node.state.roster.get(me).is_some())
+            (node.state.version(), program, node.state.roster.get(incarnation).is_some())
         })
         .await;
     if version > shared.policy().version {
@@ -157,17 +159,18 @@
             }
         }
     }
-    shared.note_membership(member);
+    shared.set_membership(member);
 }
 
-async fn log_up(shared: &Arc<Shared>) {
+/// Once the log answers again: appends the claims and leaves that it lacks, and rejoins.
+async fn on_log_up(shared: &Arc<Shared>) {
     if shared.set_log_answers(true) {
         return;
     }
     info!(event = "log_up"; "");
-    shared.claims.flush_copies(shared).await;
-    let untold = shared.keeper.visit(|node, _| node.unlogged_leaves()).await;
-    for leave in untold {
+    shared.claims.flush_replicas(shared).await;
+    let unlogged = shared.keeper.visit(|node, _| node.unlogged_leaves()).await;
+    for leave in unlogged {
         append(shared, &Record::Leave { leave }).await;
     }
     if *shared.phase.borrow() == Phase::Serving && !shared.is_member() {
@@ -175,15 +178,16 @@
     }
 }
 
-async fn log_down(shared: &Arc<Shared>) {
+/// Records that the log failed, and waits before the next read.
+async fn on_log_down(shared: &Arc<Shared>) {
     shared.metrics.count(Counter::LogFailed);
     if shared.set_log_answers(false) {
         warn!(event = "log_down"; "");
     }
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(RETRY_DELAY).await;
 }
 
-/// Appends a control record; true when the log confirmed it.
+/// Appends a control record; true if the log confirmed it.
 pub async fn append(shared: &Shared, record: &Record) -> bool {
     let appended = shared.platform.append(CONTROL_STREAM, vec![envelope::encode(record)]).await;
     if appended.is_err() {
@@ -192,24 +196,25 @@
     appended.is_ok()
 }
 
+/// Reads one page of the claims stream; true if it reached the tail.
 async fn read_claims(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
-    let from = shared.claims.read_so_far();
+    let from = shared.claims.next_offset();
     match shared.platform.read(CLAIMS_STREAM, from, wait).await {
         Ok(Read::Page(page)) => {
             let next = page.from + page.records.len() as u64;
             let claims: Vec<Claims> =
-                page.records.iter().filter_map(|it| Claims::try_from(Raw(it)).ok()).collect();
-            let note = move |node: &mut Node, now| {
+                page.records.iter().filter_map(|text| Claims::try_from(Raw(text)).ok()).collect();
+            let apply = move |node: &mut Node, now| {
                 for claim in claims {
                     claim.keys.iter().for_each(|key| node.claims.claim(*key, claim.by, now));
                 }
             };
-            shared.keeper.visit(note).await;
-            shared.claims.read_to(next);
+            shared.keeper.visit(apply).await;
+            shared.claims.set_next_offset(next);
             Ok(next >= page.tail)
         }
         Ok(Read::Trimmed { first }) => {
-            shared.claims.read_to(first);
+            shared.claims.set_next_offset(first);
             Ok(false)
         }
         Err(_) => Err(()),
--- a/crates/transport/src/keeper.rs
+++ b/crates/transport/src/keeper.rs
@@ -1,4 +1,4 @@
-//! The actor that holds all decisions of a node, so that each is made alone and in order.
+//! Actor that owns a node's decision state and runs all access to it one at a time, in order.
 
 use crate::clock::Clock;
 use crosslane_coordination::node::Node;
@@ -11,30 +11,30 @@
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// Exit code of a process whose decisions have ended, which is a fault of the program.
-const KEEPER_ENDED: i32 = 1;
+/// Exit code of the process after the actor has ended, which is a bug.
+const ACTOR_ENDED_EXIT_CODE: i32 = 1;
 
-type Visit = Box<dyn FnOnce(&mut Node, Millis) + Send>;
+type Task = Box<dyn FnOnce(&mut Node, Millis) + Send>;
 
-/// What the actor is told.
+/// Messages to the actor.
 enum Message {
-    /// Run a decision.
-    Visit(Visit),
-    /// Ask for a slot; the answer may come later.
-    Ask(runner::Id, Request, oneshot::Sender<Decision>),
-    /// Give a slot back.
-    Release(runner::Id, attempt::Id),
-    /// Time has passed.
+    /// Run a closure on the state.
+    Run(Task),
+    /// Request a slot; the decision may come later.
+    RequestSlot(runner::Id, Request, oneshot::Sender<Decision>),
+    /// Release a slot, or withdraw its request.
+    ReleaseSlot(runner::Id, attempt::Id),
+    /// Expire, grant and evict what is due.
     Tick,
 }
 
-/// Handle of the actor.
+/// Handle to the actor.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     actor: ActorRef<Message>,
 }
 
-struct Task;
+struct DecisionActor;
 
 struct State {
     node: Node,
@@ -43,52 +43,52 @@
 }
 
 impl Keeper {
-    /// Starts the actor; should it ever end, the process does.
+    /// Starts the actor; if the actor ends, so does the process.
     pub async fn start(node: Node, clock: Clock) -> Result<Self, SpawnErr> {
-        let (actor, ended) = Actor::spawn(None, Task, (node, clock)).await?;
+        let (actor, ended) = Actor::spawn(None, DecisionActor, (node, clock)).await?;
         tokio::spawn(async move {
             let _ = ended.await;
-            error!(event = "keeper_ended"; "a node can't go on without its decisions");
-            std::process::exit(KEEPER_ENDED);
+            error!(event = "keeper_ended"; "the decision actor ended; exiting");
+            std::process::exit(ACTOR_ENDED_EXIT_CODE);
         });
         Ok(Self { actor })
     }
 
-    /// Runs a decision and returns its result.
+    /// Runs a closure on the state and returns its result; waits forever if the actor has ended.
     pub async fn visit<T: Send + 'static>(
         &self,
-        decide: impl FnOnce(&mut Node, Millis) -> T + Send + 'static,
+        access: impl FnOnce(&mut Node, Millis) -> T + Send + 'static,
     ) -> T {
         let (reply, result) = oneshot::channel();
-        let visit: Visit = Box::new(move |node, now| {
-            let _ = reply.send(decide(node, now));
+        let task: Task = Box::new(move |node, now| {
+            let _ = reply.send(access(node, now));
         });
-        let _ = self.actor.cast(Message::Visit(visit));
+        let _ = self.actor.cast(Message::Run(task));
         match result.await {
             Ok(value) => value,
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// Asks for a slot and waits for the answer.
-    pub async fn ask(&self, runner: runner::Id, ask: Request) -> Decision {
-        let (reply, grant) = oneshot::channel();
-        let _ = self.actor.cast(Message::Ask(runner, ask, reply));
-        grant.await.unwrap_or(Decision::NotOwner)
+    /// Requests a slot and waits for the decision.
+    pub async fn ask(&self, runner: runner::Id, request: Request) -> Decision {
+        let (reply, decision) = oneshot::channel();
+        let _ = self.actor.cast(Message::RequestSlot(runner, request, reply));
+        decision.await.unwrap_or(Decision::NotOwner)
     }
 
-    /// Gives a slot back, or stops waiting for it.
+    /// Releases a slot, or withdraws its request.
     pub fn release(&self, runner: runner::Id, attempt: attempt::Id) {
-        let _ = self.actor.cast(Message::Release(runner, attempt));
+        let _ = self.actor.cast(Message::ReleaseSlot(runner, attempt));
     }
 
-    /// Says that time has passed.
+    /// Makes the actor handle what is due by now.
     pub fn tick(&self) {
         let _ = self.actor.cast(Message::Tick);
     }
 }
 
-impl Actor for Task {
+impl Actor for DecisionActor {
     type Msg = Message;
     type State = State;
     type Arguments = (Node, Clock);
@@ -109,9 +109,11 @@
     ) -> Result<(), ActorProcessingErr> {
         let now = state.clock.now();
         match message {
-            Message::Visit(visit) => visit(&mut state.node, now),
-            Message::Ask(runner, ask, reply) => state.ask(runner, ask, reply, now),
-            Message::Release(runner, attempt) => state.release(runner, attempt, now),
+            Message::Run(task) => task(&mut state.node, now),
+            Message::RequestSlot(runner, request, reply) => {
+                state.request_slot(runner, request, reply, now)
+            }
+            Message::ReleaseSlot(runner, attempt) => state.release_slot(runner, attempt, now),
             Message::Tick => state.tick(now),
         }
         Ok(())
@@ -119,25 +121,25 @@
 }
 
 impl State {
-    fn ask(
+    fn request_slot(
         &mut self,
         runner: runner::Id,
-        ask: Request,
+        request: Request,
         reply: oneshot::Sender<Decision>,
         now: Millis,
     ) {
-        match self.node.request_slot(runner, ask, now) {
-            Some(grant) => self.answer(runner, ask.attempt, reply, grant, now),
+        match self.node.request_slot(runner, request, now) {
+            Some(decision) => self.answer(runner, request.attempt, reply, decision, now),
             None => {
-                self.pending.insert(ask.attempt, (runner, reply));
+                self.pending.insert(request.attempt, (runner, reply));
             }
         }
     }
 
-    fn release(&mut self, runner: runner::Id, attempt: attempt::Id, now: Millis) {
+    fn release_slot(&mut self, runner: runner::Id, attempt: attempt::Id, now: Millis) {
         self.pending.remove(&attempt);
         let granted = self.node.release(runner, attempt, now);
-        self.granted(granted, now);
+        self.answer_granted(granted, now);
     }
 
     fn tick(&mut self, now: Millis) {
@@ -147,36 +149,38 @@
             }
         }
         let granted = self.node.grant_waiting(now);
-        self.granted(granted, now);
+        self.answer_granted(granted, now);
         self.node.ledger.evict(now);
-        let closed = self.pending.iter().filter(|(_, (_, reply))| reply.is_closed());
-        let left: Vec<_> = closed.map(|(attempt, (runner, _))| (*runner, *attempt)).collect();
-        for (runner, attempt) in left {
-            self.release(runner, attempt, now);
+        let withdrawn = self.pending.iter().filter(|(_, (_, reply))| reply.is_closed());
+        let abandoned: Vec<_> =
+            withdrawn.map(|(attempt, (runner, _))| (*runner, *attempt)).collect();
+        for (runner, attempt) in abandoned {
+            self.release_slot(runner, attempt, now);
         }
     }
 
-    fn granted(&mut self, attempts: Vec<attempt::Id>, now: Millis) {
+    /// Answers the pending requests of attempts that have just been granted a slot.
+    fn answer_granted(&mut self, attempts: Vec<attempt::Id>, now: Millis) {
         for attempt in attempts {
             if let Some((runner, reply)) = self.pending.remove(&attempt) {
-                let grant =
+                let decision =
                     self.node.slot_decision(runner, attempt, now).unwrap_or(Decision::NotOwner);
-                self.answer(runner, attempt, reply, grant, now);
+                self.answer(runner, attempt, reply, decision, now);
             }
         }
     }
 
-    /// Answers an ask; a slot for one who no longer waits goes back at once.
+    /// Answers a slot request; releases a granted slot at once if the requester no longer waits.
     fn answer(
         &mut self,
         runner: runner::Id,
         attempt: attempt::Id,
         reply: oneshot::Sender<Decision>,
-        grant: Decision,
+        decision: Decision,
         now: Millis,
     ) {
-        if reply.send(grant).is_err() && matches!(grant, Decision::Granted { .. }) {
-            self.release(runner, attempt, now);
+        if reply.send(decision).is_err() && matches!(decision, Decision::Granted { .. }) {
+            self.release_slot(runner, attempt, now);
         }
     }
 }
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -1,4 +1,4 @@
-//! A node put together: what its parts share, and how it starts and ends.
+//! A node: the state that its parts share, its startup and its shutdown.
 
 use crate::claims::Writer;
 use crate::clock::{self, Clock};
@@ -35,111 +35,111 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Heartbeats missed by this process itself before it counts as paused.
-const PAUSED_BEATS: u64 = 4;
+/// Heartbeat periods without a tick of its own after which this process counts as paused.
+const PAUSED_AFTER_BEATS: u64 = 4;
 
-/// Pause between two tries to start.
-const START_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two attempts to catch up at startup.
+const START_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time for the last bytes of answers to be sent.
-const LAST_BYTES: Duration = Duration::from_secs(5);
+/// Time for the servers to send the rest of their responses at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time for a request to wait until a paused node has caught up.
-const FRESH: Duration = Duration::from_secs(5);
+/// How long a request waits for a node to catch up after a pause.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a node can't start.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[display("can't listen on {address}: {source}")]
     Listen {
         /// Address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The metrics socket can't be opened.
     #[display("can't open the metrics socket: {source}")]
     Metrics {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An actor did not start.
     #[display("an actor did not start: {source}")]
     Actor {
-        /// What the library says.
+        /// Error of the actor library.
         source: SpawnErr,
     },
 }
 
-/// Where a node stands.
+/// Lifecycle phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Does not yet hold the policy in force.
+    /// Has not yet caught up with the log and its policy.
     Starting,
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Announced as leaving: takes requests for a moment more.
+    /// Announced as leaving: still accepts requests until the drain time is over.
     Leaving {
-        /// Since when.
+        /// Start of the drain.
         since: Millis,
     },
-    /// Has given everything up: safe to stop.
+    /// Holds no more work or state: safe to stop.
     Stopped,
-    /// Was replaced, or met a record that it can't read: takes nothing.
+    /// Was replaced, or read a record of a newer format: rejects everything.
     Fenced,
 }
 
-/// Policy in force at this node.
+/// Policy in force on this node.
 #[derive(Debug)]
 pub struct Policy {
-    /// Its version.
+    /// Version.
     pub version: Version,
-    /// Its program.
+    /// Compiled program.
     pub program: Program,
 }
 
-/// Attempts in progress, with the VMs that they touch.
+/// Attempts in progress, with the VMs that they use.
 #[derive(Debug, Default)]
-pub struct Flights {
+pub struct InFlight {
     attempts: Mutex<HashMap<attempt::Id, Vec<String>>>,
 }
 
-impl Flights {
-    /// Begins an attempt.
+impl InFlight {
+    /// Adds an attempt.
     pub fn begin(&self, attempt: attempt::Id) {
         self.lock().insert(attempt, Vec::new());
     }
 
-    /// Notes that an attempt touches a VM.
+    /// Records that an attempt uses a VM.
     pub fn touch(&self, attempt: attempt::Id, vm: &str) {
         if let Some(vms) = self.lock().get_mut(&attempt) {
             vms.push(vm.to_owned());
         }
     }
 
-    /// Ends an attempt.
+    /// Removes an attempt.
     pub fn end(&self, attempt: attempt::Id) {
         self.lock().remove(&attempt);
     }
 
-    /// Which attempts are in progress.
-    pub fn wanted(&self, attempts: &[attempt::Id]) -> Vec<bool> {
-        let held = self.lock();
-        attempts.iter().map(|it| held.contains_key(it)).collect()
+    /// For each of the given attempts, whether it is in progress.
+    pub fn still_in_use(&self, attempts: &[attempt::Id]) -> Vec<bool> {
+        let in_progress = self.lock();
+        attempts.iter().map(|attempt| in_progress.contains_key(attempt)).collect()
     }
 
-    /// How many attempts touch a VM.
-    pub fn touching(&self, vm: &str) -> u32 {
-        self.lock().values().filter(|vms| vms.iter().any(|it| it == vm)).count() as u32
+    /// Number of attempts that use a VM.
+    pub fn count_on(&self, vm: &str) -> u32 {
+        self.lock().values().filter(|vms| vms.iter().any(|used| used == vm)).count() as u32
     }
 
-    /// How many attempts there are.
+    /// Number of attempts in progress.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether there are none.
+    /// Whether no attempt is in progress.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
@@ -149,51 +149,51 @@
     }
 }
 
-/// What the parts of a node share.
+/// State shared by the parts of a node.
 pub struct Shared {
     /// Settings.
     pub settings: Settings,
-    /// This start.
+    /// Incarnation of this process.
     pub me: Incarnation,
-    /// This node as others know it.
+    /// This node's entry in the membership.
     pub member: Member,
     /// Clock.
     pub clock: Clock,
     /// HTTP client.
     pub client: Client,
-    /// Platform's services.
+    /// Client of the platform's services.
     pub platform: Platform,
-    /// Decisions.
+    /// Actor that owns the node's decision state.
     pub keeper: Keeper,
-    /// Other nodes.
+    /// Connections to other nodes.
     pub peers: Peers,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Claims.
+    /// Writer of claims.
     pub claims: Writer,
     /// Attempts in progress.
-    pub flights: Flights,
+    pub flights: InFlight,
     tapes: Mutex<HashMap<Key, Arc<Tape>>>,
-    /// Where the node stands.
+    /// Lifecycle phase.
     pub phase: watch::Sender<Phase>,
     policy: RwLock<Arc<Policy>>,
     in_progress: AtomicUsize,
     sequence: AtomicU64,
-    ticked: AtomicU64,
+    last_tick: AtomicU64,
     log_answers: AtomicBool,
-    member_now: AtomicBool,
-    on_duty: AtomicBool,
+    is_member: AtomicBool,
+    duties_running: AtomicBool,
 }
 
-/// Counts a request as in progress until dropped.
+/// Guard that counts a request as in progress until it is dropped.
 pub struct Progress {
     shared: Arc<Shared>,
 }
 
 impl Drop for Progress {
     fn drop(&mut self) {
-        let left = self.shared.in_progress.fetch_sub(1, Ordering::Relaxed) - 1;
-        self.shared.metrics.in_progress(left as u64);
+        let remaining = self.shared.in_progress.fetch_sub(1, Ordering::Relaxed) - 1;
+        self.shared.metrics.in_progress(remaining as u64);
     }
 }
 
@@ -204,27 +204,27 @@
         Progress { shared: self.clone() }
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Outputs of keyed requests in progress.
+    /// Outputs of the keyed requests in progress.
     pub fn tapes(&self) -> MutexGuard<'_, HashMap<Key, Arc<Tape>>> {
         self.tapes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number for a new request.
+    /// Sequence number for a new request.
     pub fn sequence(&self) -> u64 {
         self.sequence.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Policy in force here.
+    /// Policy in force on this node.
     pub fn policy(&self) -> Arc<Policy> {
         self.policy.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts a policy in force; an older version changes nothing.
+    /// Puts a policy in force unless its version is not newer than the current one.
     pub fn set_policy(&self, version: Version, program: Program) {
         let mut policy = self.policy.write().unwrap_or_else(PoisonError::into_inner);
         if version > policy.version {
@@ -232,32 +232,32 @@
         }
     }
 
-    /// Whether the log answered last time.
+    /// Whether the last call to the log succeeded.
     pub fn log_answers(&self) -> bool {
         self.log_answers.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the log answers; returns what held before.
+    /// Sets whether the log answers; returns the previous value.
     pub fn set_log_answers(&self, answers: bool) -> bool {
         self.log_answers.swap(answers, Ordering::Relaxed)
     }
 
-    /// Whether the log has this node as a member.
+    /// Whether the log lists this node as a member.
     pub fn is_member(&self) -> bool {
-        self.member_now.load(Ordering::Relaxed)
+        self.is_member.load(Ordering::Relaxed)
     }
 
-    /// Notes whether the log has this node as a member; one that was removed, and did not
-    /// leave by itself, is fenced.
-    pub fn note_membership(&self, member: bool) {
-        let before = self.member_now.swap(member, Ordering::Relaxed);
+    /// Sets whether the log lists this node as a member; fences a node that was removed without
+    /// leaving by itself.
+    pub fn set_membership(&self, member: bool) {
+        let before = self.is_member.swap(member, Ordering::Relaxed);
         let leaving = matches!(*self.phase.borrow(), Phase::Leaving { .. } | Phase::Stopped);
         if before && !member && !leaving {
             self.fence("replaced");
         }
     }
 
-    /// Takes no more requests, for good.
+    /// Rejects all requests from now on, for good.
     pub fn fence(&self, reason: &str) {
         if *self.phase.borrow() != Phase::Fenced {
             error!(event = "fenced", reason = reason; "");
@@ -265,23 +265,23 @@
         }
     }
 
-    /// Notes that this process runs.
+    /// Records that this process is running.
     pub fn tick(&self) {
-        self.ticked.store(self.clock.now().0, Ordering::Relaxed);
+        self.last_tick.store(self.clock.now().0, Ordering::Relaxed);
     }
 
-    /// Whether this process stood still.
+    /// Whether this process was paused and has not yet caught up.
     pub fn paused(&self) -> bool {
-        let ticked = Millis(self.ticked.load(Ordering::Relaxed));
-        let silence = self.clock.now().since(ticked);
-        silence > PAUSED_BEATS * self.settings.timing.beat_millis
+        let last_tick = Millis(self.last_tick.load(Ordering::Relaxed));
+        let elapsed_ms = self.clock.now().since(last_tick);
+        elapsed_ms > PAUSED_AFTER_BEATS * self.settings.timing.beat_millis
     }
 
-    /// Waits until a paused process has caught up; false when it may not dispatch.
+    /// Waits until a paused process has caught up; false if it must not dispatch.
     pub async fn fresh(&self) -> bool {
         let started = self.clock.now();
         while self.paused() {
-            if self.clock.now().since(started) > FRESH.as_millis() as u64 {
+            if self.clock.now().since(started) > CATCH_UP_TIMEOUT.as_millis() as u64 {
                 return false;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -289,23 +289,23 @@
         *self.phase.borrow() != Phase::Fenced
     }
 
-    /// Takes the slower duties, unless they are still being done.
-    pub fn busy_with_duties(&self) -> bool {
-        self.on_duty.swap(true, Ordering::Relaxed)
+    /// Marks the slower duties as running; returns whether they already were.
+    pub fn start_duties(&self) -> bool {
+        self.duties_running.swap(true, Ordering::Relaxed)
     }
 
-    /// Ends the slower duties.
-    pub fn done_with_duties(&self) {
-        self.on_duty.store(false, Ordering::Relaxed);
+    /// Marks the slower duties as finished.
+    pub fn finish_duties(&self) {
+        self.duties_running.store(false, Ordering::Relaxed);
     }
 
-    /// The member or guest with an incarnation.
+    /// Member, logged or provisional, with an incarnation.
     pub async fn member(&self, incarnation: Incarnation) -> Option<Member> {
         self.keeper.visit(move |node, _| node.member(incarnation).cloned()).await
     }
 }
 
-/// Addresses that a node turned out to listen on.
+/// Addresses that a node is bound to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// Callers.
@@ -318,26 +318,26 @@
 
 /// A started node.
 pub struct Handle {
-    /// What its parts share.
+    /// Shared state.
     pub shared: Arc<Shared>,
-    /// Where it listens.
+    /// Bound addresses.
     pub addresses: Addresses,
     stop: watch::Sender<bool>,
     servers: Vec<JoinHandle<()>>,
 }
 
-/// Starts a node: listens, and begins to catch up with the log.
+/// Starts a node: binds its ports and begins to catch up with the log.
 pub async fn start(settings: Settings) -> Result<Handle, StartError> {
     let callers = listen(settings.listen.callers).await?;
     let forward = listen(settings.listen.forward).await?;
     let control = listen(settings.listen.control).await?;
     let operators = listen(settings.listen.operator).await?;
     let addresses = Addresses {
-        callers: local(&callers)?,
-        operator: local(&operators)?,
-        control: local(&control)?,
+        callers: local_address(&callers)?,
+        operator: local_address(&operators)?,
+        control: local_address(&control)?,
     };
-    let shared = share(settings, addresses.control, local(&forward)?).await?;
+    let shared = build_shared(settings, addresses.control, local_address(&forward)?).await?;
     Writer::start(shared.clone()).await.map_err(|source| StartError::Actor { source })?;
     let (stop, stopped) = watch::channel(false);
 
@@ -346,13 +346,15 @@
         connections: shared.settings.limits.connections,
         header: Duration::from_millis(shared.settings.limits.read_millis),
     };
-    let from_callers = handler(shared.clone(), entry::caller);
-    let callers = tokio::spawn(serve::serve(callers, limits, stopped.clone(), from_callers));
-    let inner = serve::Limits { header_bytes: limits.header_bytes * 2, ..Default::default() };
-    let from_nodes = handler(shared.clone(), entry::forwarded);
-    let forward = tokio::spawn(serve::serve(forward, inner, stopped.clone(), from_nodes));
-    let from_operators = handler(shared.clone(), operator::handle);
-    tokio::spawn(serve::serve(operators, serve::Limits::default(), stopped, from_operators));
+    let caller_handler = handler(shared.clone(), entry::caller);
+    let callers = tokio::spawn(serve::serve(callers, limits, stopped.clone(), caller_handler));
+    let forward_limits =
+        serve::Limits { header_bytes: limits.header_bytes * 2, ..Default::default() };
+    let forward_handler = handler(shared.clone(), entry::forwarded);
+    let forward =
+        tokio::spawn(serve::serve(forward, forward_limits, stopped.clone(), forward_handler));
+    let operator_handler = handler(shared.clone(), operator::handle);
+    tokio::spawn(serve::serve(operators, serve::Limits::default(), stopped, operator_handler));
     tokio::spawn(rpc::serve(control, shared.clone()));
     tokio::spawn(join(shared.clone()));
     tokio::spawn(pulse::run(shared.clone()));
@@ -362,31 +364,31 @@
 }
 
 impl Handle {
-    /// Leaves, and resolves once it is safe to stop and every answer has been sent.
+    /// Drains the node; resolves once it is safe to stop and every response has been sent.
     pub async fn leave(self) {
         drain::announce(&self.shared);
         let mut phase = self.shared.phase.subscribe();
-        let _ = phase.wait_for(|it| matches!(it, Phase::Stopped | Phase::Fenced)).await;
+        let _ = phase.wait_for(|current| matches!(current, Phase::Stopped | Phase::Fenced)).await;
         self.stop.send_replace(true);
         let servers = futures::future::join_all(self.servers);
-        let _ = tokio::time::timeout(LAST_BYTES, servers).await;
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, servers).await;
     }
 
-    /// Resolves once the node has been replaced and can do nothing more.
+    /// Resolves once the node is fenced.
     pub async fn fenced(&self) {
         let mut phase = self.shared.phase.subscribe();
-        let _ = phase.wait_for(|it| *it == Phase::Fenced).await;
+        let _ = phase.wait_for(|current| *current == Phase::Fenced).await;
     }
 }
 
-async fn share(
+async fn build_shared(
     settings: Settings,
     control: SocketAddr,
     forward: SocketAddr,
 ) -> Result<Arc<Shared>, StartError> {
     let clock = Clock::start();
-    let me = clock::incarnation();
-    let node = Node::new(options(&settings, me));
+    let incarnation = clock::incarnation();
+    let node = Node::new(options(&settings, incarnation));
     let keeper =
         Keeper::start(node, clock.clone()).await.map_err(|source| StartError::Actor { source })?;
     let metrics = Metrics::new(settings.statsd).map_err(|source| StartError::Metrics { source })?;
@@ -394,9 +396,9 @@
     let limit = Duration::from_millis(settings.timing.platform_millis);
     let default = Program::compile(program::DEFAULT).expect("the default policy compiles");
     Ok(Arc::new(Shared {
-        me,
+        me: incarnation,
         member: Member {
-            incarnation: me,
+            incarnation,
             vm: settings.vm.clone(),
             domain: settings.domain.clone(),
             control,
@@ -409,27 +411,27 @@
         peers: Peers::default(),
         metrics,
         claims: Writer::default(),
-        flights: Flights::default(),
+        flights: InFlight::default(),
         tapes: Mutex::default(),
         phase: watch::Sender::new(Phase::Starting),
         policy: RwLock::new(Arc::new(Policy { version: Version(0), program: default })),
         in_progress: AtomicUsize::new(0),
         sequence: AtomicU64::new(0),
-        ticked: AtomicU64::new(0),
+        last_tick: AtomicU64::new(0),
         log_answers: AtomicBool::new(false),
-        member_now: AtomicBool::new(false),
-        on_duty: AtomicBool::new(false),
+        is_member: AtomicBool::new(false),
+        duties_running: AtomicBool::new(false),
         settings,
     }))
 }
 
-fn options(settings: &Settings, me: Incarnation) -> Options {
+fn options(settings: &Settings, incarnation: Incarnation) -> Options {
     let mut table = Table::default();
     for runner in &settings.runners {
         table.insert(runner.clone());
     }
     Options {
-        incarnation: me,
+        incarnation,
         domain: settings.domain.clone(),
         table,
         mode: settings.placement.mode,
@@ -438,24 +440,25 @@
         neighbours: settings.neighbours,
         grant_early: settings.placement.ahead,
         ledger: settings.ledger,
-        seed: me.0,
+        seed: incarnation.0,
     }
 }
 
-/// Catches up with the log, or with a node while the log is out, and joins.
+/// Catches up with the log, or with other nodes while the log is unavailable, then joins and
+/// follows the log.
 async fn join(shared: Arc<Shared>) {
     while !follower::catch_up(&shared).await {
-        if pulse::snapshot(&shared).await {
+        if pulse::fetch_snapshot(&shared).await {
             break;
         }
-        tokio::time::sleep(START_PAUSE).await;
+        tokio::time::sleep(START_RETRY_DELAY).await;
     }
     let record = Record::Join { member: shared.member.clone() };
     if follower::append(&shared, &record).await {
         shared.set_log_answers(true);
         while !shared.is_member() && follower::catch_up(&shared).await {}
     }
-    pulse::greet(&shared).await;
+    pulse::announce(&shared).await;
     let start = |phase: &mut Phase| {
         let starting = *phase == Phase::Starting;
         if starting {
@@ -483,7 +486,7 @@
     TcpListener::bind(address).await.map_err(|source| StartError::Listen { address, source })
 }
 
-fn local(listener: &TcpListener) -> Result<SocketAddr, StartError> {
+fn local_address(listener: &TcpListener) -> Result<SocketAddr, StartError> {
     let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
     listener.local_addr().map_err(|source| StartError::Listen { address: unknown, source })
 }
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes' control ports.
+//! Connections to the control ports of other nodes.
 
 use crate::metered::{Meter, Metered};
 use crosslane_protocol::peer::PeerClient;
@@ -17,55 +17,60 @@
 /// Longest control message, in bytes.
 pub const FRAME_BYTES: usize = 64 << 20;
 
-/// Time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call to a node failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// No connection.
+    /// Connecting failed.
     #[display("the node can't be reached")]
     Unreachable,
-    /// No answer in time, or the connection broke.
+    /// No reply before the deadline, or the connection broke.
     #[display("the node did not answer")]
-    Silent,
+    NoReply,
 }
 
-/// Pool of connections, one per node.
+/// Pool of connections, one for each node.
 #[derive(Debug, Default)]
 pub struct Peers {
-    links: Mutex<HashMap<SocketAddr, PeerClient>>,
+    connections: Mutex<HashMap<SocketAddr, PeerClient>>,
     meter: Arc<Meter>,
 }
 
 impl Peers {
-    /// Bytes of all connections, those accepted included.
+    /// Byte counts of all connections, including accepted ones.
     pub fn meter(&self) -> Arc<Meter> {
         self.meter.clone()
     }
 
-    /// Makes one call within a time limit.
-    pub async fn call<T, F, R>(&self, to: SocketAddr, limit: Duration, call: F) -> Result<T, Error>
+    /// Calls a node with a timeout; drops its connection on any error but a timeout.
+    pub async fn call<T, F, R>(
+        &self,
+        address: SocketAddr,
+        timeout: Duration,
+        call: F,
+    ) -> Result<T, Error>
     where
         F: FnOnce(PeerClient, Context) -> R,
         R: Future<Output = Result<T, RpcError>>,
     {
-        let client = self.link(to).await?;
+        let client = self.connect(address).await?;
         let mut context = context::current();
-        context.deadline = Instant::now() + limit;
+        context.deadline = Instant::now() + timeout;
         call(client, context).await.map_err(|error| {
             if !matches!(error, RpcError::DeadlineExceeded) {
-                self.lock().remove(&to);
+                self.lock().remove(&address);
             }
-            Error::Silent
+            Error::NoReply
         })
     }
 
-    async fn link(&self, to: SocketAddr) -> Result<PeerClient, Error> {
-        if let Some(client) = self.lock().get(&to) {
+    async fn connect(&self, address: SocketAddr) -> Result<PeerClient, Error> {
+        if let Some(client) = self.lock().get(&address) {
             return Ok(client.clone());
         }
-        let connected = tokio::time::timeout(CONNECT, TcpStream::connect(to)).await;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected.map_err(|_| Error::Unreachable)?.map_err(|_| Error::Unreachable)?;
         let _ = stream.set_nodelay(true);
         let framed = LengthDelimitedCodec::builder()
@@ -74,11 +79,11 @@
         let transport: Transport<_, _, _, Bincode<_, _>> =
             tarpc::serde_transport::new(framed, Bincode::default());
         let client = PeerClient::new(Config::default(), transport).spawn();
-        self.lock().insert(to, client.clone());
+        self.lock().insert(address, client.clone());
         Ok(client)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, PeerClient>> {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner)
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -1,4 +1,4 @@
-//! The heartbeat of a node, and the duties that come with time.
+//! Heartbeats and the periodic duties of a node.
 
 use crate::follower;
 use crate::metrics::Counter;
@@ -14,22 +14,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for a node to say whether it hears another.
-const HEARS: Duration = Duration::from_millis(500);
+/// Timeout of a probe of a suspect by another node, and of each call of the claims collection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Nodes asked about a suspect.
+/// Number of nodes asked to probe a suspect.
 const WITNESSES: usize = 3;
 
-/// Heartbeats between two looks at slower duties.
-const SLOW_BEATS: u64 = 4;
+/// Heartbeats between two runs of the slower duties.
+const DUTIES_EVERY_BEATS: u64 = 4;
 
-/// Age below which a member is not taken as leaving from the lagging list, in milliseconds.
-const LIST_LAG_MILLIS: u64 = 10_000;
+/// Age below which a member is not treated as leaving when the VM list, which lags, says so.
+const VM_LIST_LAG_MS: u64 = 10_000;
 
-/// Age up to which a node presents itself with each heartbeat, in milliseconds.
-const YOUNG_MILLIS: u64 = 10_000;
+/// Age up to which a node sends its own membership entry with each heartbeat.
+const ANNOUNCE_SELF_MS: u64 = 10_000;
 
-/// Beats until the process ends.
+/// Sends heartbeats until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let period = Duration::from_millis(shared.settings.timing.beat_millis);
     let mut ticks = tokio::time::interval(period);
@@ -37,77 +37,79 @@
     for count in 0u64.. {
         ticks.tick().await;
         if shared.paused() {
-            wake(&shared).await;
+            recover_from_pause(&shared).await;
         }
         shared.tick();
         shared.keeper.tick();
         let neighbours = shared.keeper.visit(|node, _| neighbours(node)).await;
         for neighbour in neighbours {
-            tokio::spawn(exchange(shared.clone(), neighbour));
+            tokio::spawn(exchange_heartbeats(shared.clone(), neighbour));
         }
-        tokio::spawn(suspects(shared.clone()));
-        if count % SLOW_BEATS == 0 && !shared.busy_with_duties() {
-            tokio::spawn(duties(shared.clone()));
+        tokio::spawn(probe_suspects(shared.clone()));
+        if count % DUTIES_EVERY_BEATS == 0 && !shared.start_duties() {
+            tokio::spawn(run_duties(shared.clone()));
         }
     }
 }
 
-/// After a pause: nothing is believed until log or peers have been heard again.
-async fn wake(shared: &Arc<Shared>) {
+/// After a pause, restarts the failure detector and catches up with the log, or else with peers.
+async fn recover_from_pause(shared: &Arc<Shared>) {
     shared.metrics.count(Counter::Paused);
-    warn!(event = "paused"; "this process stood still and catches up first");
+    warn!(event = "paused"; "process was paused; catching up before serving");
     shared.keeper.visit(|node, now| node.detector.restart(now)).await;
     if !follower::catch_up(shared).await {
-        snapshot(shared).await;
+        fetch_snapshot(shared).await;
     }
 }
 
-/// Takes the furthest folded log of the nodes that answer.
-pub async fn snapshot(shared: &Arc<Shared>) -> bool {
+/// Fetches the folded log state of all reachable nodes and keeps the most advanced; false if none
+/// answered.
+pub async fn fetch_snapshot(shared: &Arc<Shared>) -> bool {
     let limit = Duration::from_millis(shared.settings.timing.platform_millis);
     let members = shared.keeper.visit(|node, _| neighbours(node)).await;
-    let known = members.iter().map(|it| it.control);
+    let known_addresses = members.iter().map(|member| member.control);
     let mut found = false;
-    for address in known.chain(shared.settings.seeds.iter().copied()) {
+    for address in known_addresses.chain(shared.settings.seeds.iter().copied()) {
         if address == shared.member.control {
             continue;
         }
         let call = |client: PeerClient, context| async move { client.snapshot(context).await };
-        let Ok(Snapshot { state, unlogged_members: guests }) =
+        let Ok(Snapshot { state, unlogged_members }) =
             shared.peers.call(address, limit, call).await
         else {
             continue;
         };
         found = true;
-        let take = move |node: &mut Node, now| {
-            guests.into_iter().for_each(|it| node.add_provisional(it, now));
+        let adopt = move |node: &mut Node, now| {
+            unlogged_members.into_iter().for_each(|member| node.add_provisional(member, now));
             if state.next_offset > node.state.next_offset {
                 node.state = state;
                 node.refresh(now);
             }
         };
-        shared.keeper.visit(take).await;
-        follower::folded(shared).await;
+        shared.keeper.visit(adopt).await;
+        follower::apply_folded_state(shared).await;
     }
     found
 }
 
-/// Presents this node to those that it knows, before it takes requests.
-pub async fn greet(shared: &Arc<Shared>) {
+/// Announces this node to its neighbours before it accepts requests.
+pub async fn announce(shared: &Arc<Shared>) {
     let neighbours = shared.keeper.visit(|node, _| neighbours(node)).await;
-    let greetings = neighbours.into_iter().map(|it| exchange(shared.clone(), it));
-    futures::future::join_all(greetings).await;
+    let exchanges =
+        neighbours.into_iter().map(|neighbour| exchange_heartbeats(shared.clone(), neighbour));
+    futures::future::join_all(exchanges).await;
 }
 
 fn neighbours(node: &mut Node) -> Vec<Member> {
     node.neighbours().into_iter().cloned().collect()
 }
 
-/// What this node tells its neighbours.
-pub async fn beat(shared: &Arc<Shared>) -> Heartbeat {
-    let (from, version) = (shared.me, shared.policy().version);
-    let young = shared.clock.now().0 < YOUNG_MILLIS;
-    let newcomer = (young || !shared.is_member()).then(|| shared.member.clone());
+/// Builds this node's heartbeat.
+pub async fn build_heartbeat(shared: &Arc<Shared>) -> Heartbeat {
+    let (sender, version) = (shared.me, shared.policy().version);
+    let young = shared.clock.now().0 < ANNOUNCE_SELF_MS;
+    let new_member = (young || !shared.is_member()).then(|| shared.member.clone());
     shared
         .keeper
         .visit(move |node, now| {
@@ -116,112 +118,120 @@
                 node.board.record_report(*id, *report, now);
             }
             Heartbeat {
-                sender: from,
+                sender,
                 version,
                 loads,
                 leaves: node.leaves_to_gossip().cloned().collect(),
-                new_member: newcomer,
+                new_member,
             }
         })
         .await
 }
 
-/// Takes in what a node told.
-pub async fn heard(shared: &Arc<Shared>, beat: Heartbeat) {
-    let news = move |node: &mut Node, now| {
-        if let Some(newcomer) = beat.new_member {
-            node.add_provisional(newcomer, now);
+/// Applies the heartbeat of another node.
+pub async fn apply_heartbeat(shared: &Arc<Shared>, heartbeat: Heartbeat) {
+    let apply = move |node: &mut Node, now| {
+        if let Some(member) = heartbeat.new_member {
+            node.add_provisional(member, now);
         }
-        node.detector.heard(beat.sender, now);
-        node.record_version(beat.sender, beat.version);
-        for (id, report) in beat.loads {
+        node.detector.heard(heartbeat.sender, now);
+        node.record_version(heartbeat.sender, heartbeat.version);
+        for (id, report) in heartbeat.loads {
             node.board.record_report(id, report, now);
         }
-        beat.leaves.into_iter().filter(|it| node.add_leave(it.clone())).count()
+        heartbeat.leaves.into_iter().filter(|leave| node.add_leave(leave.clone())).count()
     };
-    let new = shared.keeper.visit(news).await;
-    if new > 0 {
-        info!(event = "leave_heard", count = new; "");
+    let new_leaves = shared.keeper.visit(apply).await;
+    if new_leaves > 0 {
+        info!(event = "leave_heard", count = new_leaves; "");
     }
 }
 
-/// Whether this node hears another.
-pub async fn hears(shared: &Arc<Shared>, other: Incarnation) -> bool {
+/// Sends a heartbeat to another node; true if it replies.
+pub async fn probe(shared: &Arc<Shared>, other: Incarnation) -> bool {
     let Some(member) = shared.member(other).await else {
         return false;
     };
-    let beat = beat(shared).await;
-    let call = |client: PeerClient, context| async move { client.heartbeat(context, beat).await };
-    shared.peers.call(member.control, HEARS / 2, call).await.is_ok()
+    let heartbeat = build_heartbeat(shared).await;
+    let call =
+        |client: PeerClient, context| async move { client.heartbeat(context, heartbeat).await };
+    shared.peers.call(member.control, PROBE_TIMEOUT / 2, call).await.is_ok()
 }
 
-async fn exchange(shared: Arc<Shared>, neighbour: Member) {
-    let beat = beat(&shared).await;
+/// Sends a heartbeat to a neighbour and applies its reply.
+async fn exchange_heartbeats(shared: Arc<Shared>, neighbour: Member) {
+    let heartbeat = build_heartbeat(&shared).await;
     let limit = Duration::from_millis(shared.settings.timing.suspect_millis / 2);
-    let call = |client: PeerClient, context| async move { client.heartbeat(context, beat).await };
+    let call =
+        |client: PeerClient, context| async move { client.heartbeat(context, heartbeat).await };
     match shared.peers.call(neighbour.control, limit, call).await {
-        Ok(answer) => heard(&shared, answer).await,
+        Ok(reply) => apply_heartbeat(&shared, reply).await,
         Err(_) => shared.metrics.count(Counter::BeatFailed),
     }
 }
 
-/// Asks others about silent nodes.
-async fn suspects(shared: Arc<Shared>) {
-    let me = shared.me;
+/// Has other nodes probe each suspect, and declares it dead if none reaches it.
+async fn probe_suspects(shared: Arc<Shared>) {
+    let incarnation = shared.me;
     let suspects = shared.keeper.visit(|node, now| node.detector.suspects(now)).await;
     for suspect in suspects {
         let witnesses = move |node: &mut Node, now| {
             let mut witnesses = neighbours(node);
-            witnesses.retain(|it| {
-                it.incarnation != suspect && node.belief(it.incarnation, now) == Belief::Alive
+            witnesses.retain(|witness| {
+                witness.incarnation != suspect
+                    && node.belief(witness.incarnation, now) == Belief::Alive
             });
             witnesses.truncate(WITNESSES);
             witnesses
         };
         let witnesses = shared.keeper.visit(witnesses).await;
-        let asked = witnesses.iter().map(|witness| {
+        let probes = witnesses.iter().map(|witness| {
             let call = move |client: PeerClient, context| async move {
                 client.probe(context, suspect).await
             };
-            shared.peers.call(witness.control, HEARS, call)
+            shared.peers.call(witness.control, PROBE_TIMEOUT, call)
         });
-        if futures::future::join_all(asked).await.contains(&Ok(true)) {
+        if futures::future::join_all(probes).await.contains(&Ok(true)) {
             shared.keeper.visit(move |node, now| node.confirm_alive(suspect, now)).await;
             continue;
         }
         shared.metrics.count(Counter::NodesDead);
-        warn!(event = "node_dead", node:% = suspect, by:% = me; "");
+        warn!(event = "node_dead", node:% = suspect, by:% = incarnation; "");
         shared.keeper.visit(move |node, now| node.confirm_dead(suspect, now)).await;
     }
 }
 
-/// Duties that may wait: the VM list, departures, confirmations, checkpoints.
-async fn duties(shared: Arc<Shared>) {
+/// Runs the slower duties: the VM list, departures, policy confirmations, checkpoints, claims.
+async fn run_duties(shared: Arc<Shared>) {
     if let Ok(list) = shared.platform.vms().await {
-        listed(&shared, list.vms).await;
+        apply_vm_list(&shared, list.vms).await;
     }
     if shared.log_answers() && *shared.phase.borrow() != Phase::Fenced {
-        confirm(&shared).await;
+        confirm_policy(&shared).await;
         checkpoint(&shared).await;
-        settle(&shared).await;
+        collect_claims(&shared).await;
     }
-    shared.done_with_duties();
+    shared.finish_duties();
 }
 
-async fn listed(shared: &Arc<Shared>, vms: Vec<Vm>) {
-    let judge = move |node: &mut Node, now| {
+/// Announces leaves and records departures according to the VM list.
+async fn apply_vm_list(shared: &Arc<Shared>, vms: Vec<Vm>) {
+    let apply = move |node: &mut Node, now| {
         let mut gone = Vec::new();
         for vm in vms {
-            let member = node.state.roster.iter().find(|it| it.vm == vm.name);
-            let incarnation = member.map(|it| it.incarnation);
+            let member = node.state.roster.iter().find(|member| member.vm == vm.name);
+            let incarnation = member.map(|member| member.incarnation);
             match (vm.state, incarnation) {
                 (State::Live, _) => {}
-                (State::Leaving, Some(it)) if node.member_age_ms(it, now) < LIST_LAG_MILLIS => {}
-                (State::Gone, Some(it)) if node.should_record_departure(it, now) => gone.push(it),
+                (State::Leaving, Some(known))
+                    if node.member_age_ms(known, now) < VM_LIST_LAG_MS => {}
+                (State::Gone, Some(known)) if node.should_record_departure(known, now) => {
+                    gone.push(known)
+                }
                 (State::Gone, Some(_)) => {}
                 (State::Leaving | State::Gone, _) if node.has_vm(&vm.name) => {
-                    let start = incarnation.map(|it| it.to_string()).unwrap_or_default();
-                    let id = format!("list/{}/{start}", vm.name);
+                    let suffix = incarnation.map(|known| known.to_string()).unwrap_or_default();
+                    let id = format!("list/{}/{suffix}", vm.name);
                     node.add_leave(Leave { id, vm: vm.name, node: incarnation });
                 }
                 (State::Leaving | State::Gone, _) => {}
@@ -229,13 +239,14 @@
         }
         gone
     };
-    for incarnation in shared.keeper.visit(judge).await {
+    for incarnation in shared.keeper.visit(apply).await {
         info!(event = "member_gone", node:% = incarnation; "");
         follower::append(shared, &Record::Depart { incarnation, released: false }).await;
     }
 }
 
-async fn confirm(shared: &Arc<Shared>) {
+/// Confirms the policy version in force for this node's failure domain, if it is due.
+async fn confirm_policy(shared: &Arc<Shared>) {
     let in_force = shared.policy().version;
     if let Some(version) = shared.keeper.visit(|node, _| node.version_to_confirm()).await
         && version == in_force
@@ -245,10 +256,11 @@
     }
 }
 
+/// Appends a checkpoint if one is due and this node is first in the roster.
 async fn checkpoint(shared: &Arc<Shared>) {
     let records = shared.settings.timing.checkpoint_records;
     let due = move |node: &mut Node, _| {
-        let first = node.state.roster.iter().next().map(|it| it.incarnation);
+        let first = node.state.roster.iter().next().map(|member| member.incarnation);
         let due = node.state.next_offset - node.state.checkpoint_offset >= records;
         (due && first == Some(node.options().incarnation)).then(|| Box::new(node.state.clone()))
     };
@@ -257,8 +269,8 @@
     }
 }
 
-/// Collects the claims that departed nodes left with others.
-async fn settle(shared: &Arc<Shared>) {
+/// Collects the claims that departed nodes replicated to their neighbours.
+async fn collect_claims(shared: &Arc<Shared>) {
     for departed in shared.keeper.visit(|node, _| node.claims.uncollected()).await {
         let holders = move |node: &mut Node, _| {
             let holders = node.state.roster.neighbours(departed, node.options().neighbours);
@@ -272,12 +284,12 @@
             let call = move |client: PeerClient, context| async move {
                 client.replicated_claims(context, departed).await
             };
-            match shared.peers.call(holder.control, HEARS, call).await {
+            match shared.peers.call(holder.control, PROBE_TIMEOUT, call).await {
                 Ok(keys) => {
-                    let note = move |node: &mut Node, now| {
+                    let apply = move |node: &mut Node, now| {
                         keys.iter().for_each(|key| node.claims.claim(*key, departed, now));
                     };
-                    shared.keeper.visit(note).await;
+                    shared.keeper.visit(apply).await;
                 }
                 Err(_) => complete = false,
             }
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -1,4 +1,4 @@
-//! The control port: answers other nodes' calls.
+//! Server of the control port, for calls of other nodes.
 
 use crate::metered::Metered;
 use crate::node::{Phase, Shared};
@@ -19,7 +19,7 @@
 use tarpc::tokio_util::codec::LengthDelimitedCodec;
 use tokio::net::TcpListener;
 
-/// Answers calls with a node's decisions.
+/// Implementation of the control service on a node's shared state.
 #[derive(Clone)]
 struct Server {
     shared: Arc<Shared>,
@@ -39,20 +39,20 @@
             tarpc::serde_transport::new(framed, Bincode::default());
         let server = Server { shared: shared.clone() };
         let requests = BaseChannel::with_defaults(transport).execute(server.serve());
-        tokio::spawn(requests.for_each(|answer| async {
-            tokio::spawn(answer);
+        tokio::spawn(requests.for_each(|response| async {
+            tokio::spawn(response);
         }));
     }
 }
 
 impl Peer for Server {
-    async fn heartbeat(self, _: Context, beat: Heartbeat) -> Heartbeat {
-        crate::pulse::heard(&self.shared, beat).await;
-        crate::pulse::beat(&self.shared).await
+    async fn heartbeat(self, _: Context, heartbeat: Heartbeat) -> Heartbeat {
+        crate::pulse::apply_heartbeat(&self.shared, heartbeat).await;
+        crate::pulse::build_heartbeat(&self.shared).await
     }
 
-    async fn reserve_slot(self, _: Context, runner: runner::Id, ask: Request) -> Decision {
-        self.shared.keeper.ask(runner, ask).await
+    async fn reserve_slot(self, _: Context, runner: runner::Id, request: Request) -> Decision {
+        self.shared.keeper.ask(runner, request).await
     }
 
     async fn release_slot(self, _: Context, runner: runner::Id, attempt: attempt::Id) {
@@ -60,7 +60,7 @@
     }
 
     async fn still_in_use(self, _: Context, attempts: Vec<attempt::Id>) -> Vec<bool> {
-        self.shared.flights.wanted(&attempts)
+        self.shared.flights.still_in_use(&attempts)
     }
 
     async fn release_key(self, _: Context, key: Key, by: Incarnation) -> bool {
@@ -68,39 +68,39 @@
     }
 
     async fn probe(self, _: Context, node: Incarnation) -> bool {
-        crate::pulse::hears(&self.shared, node).await
+        crate::pulse::probe(&self.shared, node).await
     }
 
     async fn replicate_claims(self, _: Context, by: Incarnation, keys: Vec<u64>) -> bool {
-        self.shared.claims.take_copies(&self.shared, by, keys).await
+        self.shared.claims.store_replicas(&self.shared, by, keys).await
     }
 
     async fn replicated_claims(self, _: Context, by: Incarnation) -> Vec<u64> {
-        self.shared.claims.copies_of(by)
+        self.shared.claims.replicas_of(by)
     }
 
-    async fn handover(self, _: Context, endings: Vec<IdempotencyRecord>) {
+    async fn handover(self, _: Context, records: Vec<IdempotencyRecord>) {
         let adopt = move |node: &mut Node, now| {
-            for ending in endings {
-                let answer = ending.answer.map(Arc::new);
-                node.ledger.adopt(&ending.key, ending.fingerprint, answer, now);
+            for record in records {
+                let answer = record.answer.map(Arc::new);
+                node.ledger.adopt(&record.key, record.fingerprint, answer, now);
             }
         };
         self.shared.keeper.visit(adopt).await;
     }
 
     async fn snapshot(self, _: Context) -> Snapshot {
-        let known = |node: &mut Node, _| Snapshot {
+        let build = |node: &mut Node, _| Snapshot {
             state: node.state.clone(),
             unlogged_members: node.provisional_members(),
         };
-        self.shared.keeper.visit(known).await
+        self.shared.keeper.visit(build).await
     }
 
     async fn in_progress(self, _: Context, vm: String) -> u32 {
-        let own = vm == self.shared.settings.vm;
+        let own_vm = vm == self.shared.settings.vm;
         let stopped = *self.shared.phase.borrow() == Phase::Stopped;
-        let own = if own && !stopped { 1 + self.shared.in_progress() as u32 } else { 0 };
-        own + self.shared.flights.touching(&vm)
+        let requests = if own_vm && !stopped { 1 + self.shared.in_progress() as u32 } else { 0 };
+        requests + self.shared.flights.count_on(&vm)
     }
 }
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -169,7 +169,7 @@
             ..self.ask(attempt, tokens, tokens + max_tokens, hold)
         };
         let Slot { runner, owner, start_in } = self.take(Role::Decode, ask).await?;
-        holds.decode = Some(Hold { runner: runner.clone(), owner, touched: false });
+        holds.decode = Some(Hold { runner: runner.clone(), owner, dispatched: false });
         tokio::time::sleep(Duration::from_millis(start_in)).await;
         self.shared.flights.touch(attempt, &runner.vm);
         Ok(runner)
@@ -183,7 +183,7 @@
     ) -> Result<Runner, Failure> {
         let ask = self.ask(attempt, tokens, tokens, self.prefill_millis(tokens));
         let Slot { runner, owner, .. } = self.take(Role::Prefill, ask).await?;
-        holds.prefill = Some(Hold { runner: runner.clone(), owner, touched: false });
+        holds.prefill = Some(Hold { runner: runner.clone(), owner, dispatched: false });
         self.shared.flights.touch(attempt, &runner.vm);
         Ok(runner)
     }
@@ -453,7 +453,7 @@
 
 fn touch(hold: &mut Option<Hold>) {
     if let Some(hold) = hold {
-        hold.touched = true;
+        hold.dispatched = true;
     }
 }
 
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/sweep.rs
@@ -1,4 +1,5 @@
-//! Freeing of engine memory: cancel until confirmed, and reconciliation with engines' lists.
+//! Frees engine memory: cancels attempts until the engine confirms, and reconciles the attempts that
+//! engines hold with those still in use.
 
 use crate::engine::Engine;
 use crate::metrics::Counter;
@@ -13,32 +14,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// First pause between two cancels.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the first repeated cancel; it doubles each time.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest pause between two cancels.
-const PAUSE_LIMIT: Duration = Duration::from_secs(2);
+/// Longest delay between two cancels.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Cancels of one attempt before it is left to reconciliation.
-const TRIES: usize = 60;
+/// Number of cancels of one attempt, after which it is left to reconciliation.
+const CANCEL_LIMIT: usize = 60;
 
-/// Time for a node to say which attempts it wants.
-const WANTED: Duration = Duration::from_millis(500);
+/// Timeout of a call to another node.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an attempt may hold at one runner.
+/// Resources that an attempt may hold at one runner.
 #[derive(Clone, Debug)]
 pub struct Hold {
     /// Runner.
     pub runner: Runner,
     /// Node that granted the slot, if one did.
     pub owner: Option<Incarnation>,
-    /// Whether the engine may know the attempt.
-    pub touched: bool,
+    /// Whether a call was sent to the engine, so that it may hold memory for the attempt.
+    pub dispatched: bool,
 }
 
-/// Frees what an attempt holds at a runner: its memory first, then its slot.
+/// Frees what an attempt holds at a runner: first the engine's memory, then the slot.
 pub async fn free(shared: Arc<Shared>, attempt: attempt::Id, hold: Hold) {
-    if hold.touched {
+    if hold.dispatched {
         cancel(&shared, &hold.runner, attempt).await;
     }
     if let Some(owner) = hold.owner {
@@ -46,22 +47,22 @@
     }
 }
 
-/// Cancels an attempt at an engine until the engine confirms.
+/// Cancels an attempt at an engine, repeatedly until the engine confirms or the limit is reached.
 pub async fn cancel(shared: &Shared, runner: &Runner, attempt: attempt::Id) {
     let engine = Engine::new(shared.client.clone(), runner.address);
-    let mut pause = PAUSE;
-    for _ in 0..TRIES {
+    let mut delay = RETRY_DELAY;
+    for _ in 0..CANCEL_LIMIT {
         if engine.cancel(attempt).await {
             shared.metrics.count(Counter::Cancelled);
             return;
         }
         shared.metrics.count(Counter::CancelRetried);
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(PAUSE_LIMIT);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Gives a slot back to the node that granted it.
+/// Releases a slot at the node that granted it.
 pub async fn release(shared: &Shared, owner: Incarnation, runner: Id, attempt: attempt::Id) {
     if owner == shared.me {
         shared.keeper.release(runner, attempt);
@@ -71,40 +72,40 @@
         client.release_slot(context, runner, attempt).await
     };
     if let Some(member) = shared.member(owner).await {
-        let _ = shared.peers.call(member.control, WANTED, call).await;
+        let _ = shared.peers.call(member.control, CALL_TIMEOUT, call).await;
     }
 }
 
-/// Reconciles owned engines, and those whose owner is dead, until the process ends.
+/// Reconciles the engines that this node owns, and those whose owner is dead, until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     let period = Duration::from_millis(shared.settings.timing.reconcile_millis);
     loop {
         tokio::time::sleep(period).await;
-        let look = |node: &mut Node, now| (node.owned().cloned().collect(), node.taken_over(now));
-        let (owned, taken_over): (Vec<Runner>, Vec<Runner>) = shared.keeper.visit(look).await;
+        let list = |node: &mut Node, now| (node.owned().cloned().collect(), node.taken_over(now));
+        let (owned, taken_over): (Vec<Runner>, Vec<Runner>) = shared.keeper.visit(list).await;
         let owned = owned.into_iter().map(|runner| reconcile(shared.clone(), runner));
-        let taken_over = taken_over.into_iter().map(|runner| clear(shared.clone(), runner));
+        let taken_over = taken_over.into_iter().map(|runner| free_orphans(shared.clone(), runner));
         tokio::join!(join_all(owned), join_all(taken_over));
     }
 }
 
-/// Attempts that an engine holds, by its own list.
-async fn held(shared: &Shared, runner: &Runner) -> Option<Vec<attempt::Id>> {
+/// Attempts that hold memory at an engine, as it reports them.
+async fn held_attempts(shared: &Shared, runner: &Runner) -> Option<Vec<attempt::Id>> {
     let engine = Engine::new(shared.client.clone(), runner.address);
     let list = engine.held().await.ok()?;
-    Some(list.held.iter().filter_map(|it| attempt::Id::parse(&it.attempt)).collect())
+    Some(list.held.iter().filter_map(|entry| attempt::Id::parse(&entry.attempt)).collect())
 }
 
-/// Frees what dead nodes left at an engine whose owner is dead too.
-async fn clear(shared: Arc<Shared>, runner: Runner) {
-    let Some(held) = held(&shared, &runner).await else {
+/// Frees the attempts of dead nodes at an engine whose owner is dead too.
+async fn free_orphans(shared: Arc<Shared>, runner: Runner) {
+    let Some(held) = held_attempts(&shared, &runner).await else {
         return;
     };
     let orphans = shared.keeper.visit(move |node, now| node.orphans(&held, now)).await;
-    orphans.into_iter().for_each(|it| reclaim(&shared, &runner, it, None));
+    orphans.into_iter().for_each(|attempt| reclaim(&shared, &runner, attempt, None));
 }
 
-/// Frees an attempt that nobody wants.
+/// Frees an attempt that is no longer in use.
 fn reclaim(
     shared: &Arc<Shared>,
     runner: &Runner,
@@ -113,13 +114,14 @@
 ) {
     shared.metrics.count(Counter::Reconciled);
     info!(event = "reconciled", attempt:% = attempt, runner = runner.name.as_str(); "");
-    let hold = Hold { runner: runner.clone(), owner, touched: true };
+    let hold = Hold { runner: runner.clone(), owner, dispatched: true };
     tokio::spawn(free(shared.clone(), attempt, hold));
 }
 
+/// Frees the attempts at an owned engine that are no longer in use.
 async fn reconcile(shared: Arc<Shared>, runner: Runner) {
     let id = runner.id;
-    let Some(held) = held(&shared, &runner).await else {
+    let Some(held) = held_attempts(&shared, &runner).await else {
         shared.keeper.visit(move |node, _| node.mark_unresponsive(id)).await;
         return;
     };
@@ -127,33 +129,34 @@
     let Some(plan) = shared.keeper.visit(plan).await else {
         return;
     };
-    let mut unwanted = plan.cancel;
+    let mut unused = plan.cancel;
     for (origin, attempts) in plan.confirm {
-        unwanted.extend(disowned(&shared, origin, attempts).await);
+        unused.extend(unused_attempts(&shared, origin, attempts).await);
     }
-    unwanted.into_iter().for_each(|it| reclaim(&shared, &runner, it, Some(shared.me)));
+    unused.into_iter().for_each(|attempt| reclaim(&shared, &runner, attempt, Some(shared.me)));
 }
 
-/// Attempts that their maker says it does not want.
-async fn disowned(
+/// Attempts that their origin reports as no longer in use.
+async fn unused_attempts(
     shared: &Shared,
     origin: Incarnation,
     attempts: Vec<attempt::Id>,
 ) -> Vec<attempt::Id> {
-    let wanted = if origin == shared.me {
-        Ok(shared.flights.wanted(&attempts))
+    let in_use = if origin == shared.me {
+        Ok(shared.flights.still_in_use(&attempts))
     } else if let Some(member) = shared.member(origin).await {
-        let asked = attempts.clone();
-        let call =
-            |client: PeerClient, context| async move { client.still_in_use(context, asked).await };
-        shared.peers.call(member.control, WANTED, call).await
+        let queried = attempts.clone();
+        let call = |client: PeerClient, context| async move {
+            client.still_in_use(context, queried).await
+        };
+        shared.peers.call(member.control, CALL_TIMEOUT, call).await
     } else {
         return Vec::new();
     };
-    let Ok(wanted) = wanted else {
+    let Ok(in_use) = in_use else {
         shared.keeper.visit(move |node, now| node.detector.watch(origin, now)).await;
         return Vec::new();
     };
-    let pairs = attempts.into_iter().zip(wanted);
-    pairs.filter(|(_, wanted)| !wanted).map(|(attempt, _)| attempt).collect()
+    let pairs = attempts.into_iter().zip(in_use);
+    pairs.filter(|(_, in_use)| !in_use).map(|(attempt, _)| attempt).collect()
 }
