--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,8 +1,8 @@
-//! The process's clock.
+//! Clock of the process.
 //!
-//! It counts the time for which the machine was suspended, which timers and `Instant` leave out. Whatever a
-//! node believes, and whatever a caller or a lease allows, ages meanwhile; so ages and deadlines stand on
-//! this clock, and only waits of milliseconds to seconds stand on timers.
+//! It includes the time for which the machine was suspended, which timers and `Instant` leave out. What a
+//! node has learned about others, the deadlines of callers and leases all age during a suspension, so ages
+//! and deadlines use this clock; timers serve only for waits of milliseconds to seconds.
 
 use crosslane_state::incarnation::Incarnation;
 use crosslane_state::time::Millis;
@@ -12,46 +12,46 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Time since the machine started, suspensions included.
+/// Time since the machine booted, including suspensions.
 pub fn boot() -> Duration {
-    // The system has this clock on every machine; without it nothing would ever age.
+    // Every supported system has this clock; without it no timeout would ever expire.
     clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the boot-time clock").into()
 }
 
-/// Tells the time since the process started; never goes back.
+/// Monotonic time since the process started.
 #[derive(Clone, Debug)]
 pub struct Clock {
     start: Duration,
-    /// Milliseconds added from outside.
-    skipped: Arc<AtomicU64>,
+    /// Milliseconds added by `skip`.
+    skipped_ms: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
-        Self { start: boot(), skipped: Arc::default() }
+        Self { start: boot(), skipped_ms: Arc::default() }
     }
 
     /// Time since the start.
     pub fn now(&self) -> Millis {
-        let passed = boot().saturating_sub(self.start).as_millis();
-        let skipped = self.skipped.load(Ordering::Relaxed);
-        Millis(u64::try_from(passed).unwrap_or(u64::MAX).saturating_add(skipped))
+        let elapsed_ms = boot().saturating_sub(self.start).as_millis();
+        let skipped_ms = self.skipped_ms.load(Ordering::Relaxed);
+        Millis(u64::try_from(elapsed_ms).unwrap_or(u64::MAX).saturating_add(skipped_ms))
     }
 
-    /// Goes on by some milliseconds at once, as over a suspension.
+    /// Advances the clock at once, as a suspension does.
     pub fn skip(&self, millis: u64) {
-        self.skipped.fetch_add(millis, Ordering::Relaxed);
+        self.skipped_ms.fetch_add(millis, Ordering::Relaxed);
     }
 
-    /// A moment after some time.
+    /// Deadline after some time from now.
     pub fn deadline(&self, after: Duration) -> Deadline {
         let millis = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
         Deadline { clock: self.clone(), at: self.now() + millis }
     }
 }
 
-/// A moment by which something must have ended.
+/// Point in time by which something must have ended.
 #[derive(Clone, Debug)]
 pub struct Deadline {
     clock: Clock,
@@ -59,24 +59,24 @@
 }
 
 impl Deadline {
-    /// Time left.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         Duration::from_millis(self.at.since(self.clock.now()))
     }
 
-    /// The moment as timers know it, unless the machine is suspended before.
+    /// Deadline as an instant for timers; too late if the machine is suspended before.
     pub fn instant(&self) -> Instant {
         Instant::now() + self.left()
     }
 }
 
-/// A new incarnation, later than those made before on this VM.
+/// Creates an incarnation; it sorts after those created earlier on this VM.
 pub fn incarnation() -> Incarnation {
     Incarnation::new(unix(), rand::random())
 }
 
-/// Time of day, in milliseconds of Unix time; it may step.
+/// Unix time in milliseconds; not monotonic, as the system time can be set.
 pub fn unix() -> u64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(unix.as_millis()).unwrap_or_default()
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or_default()
 }
--- a/crates/transport/src/metrics.rs
+++ b/crates/transport/src/metrics.rs
@@ -7,30 +7,30 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What is counted, besides refusals.
+/// Events that are counted, besides refusals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Requests that came.
+    /// Requests received.
     Requests,
-    /// Answers given whole.
+    /// Answers sent completely.
     Answers,
-    /// Requests that joined a running one under their key.
+    /// Requests that joined a running request with the same key.
     Joined,
-    /// Answers given again from the ledger.
+    /// Answers replayed from the idempotency records.
     Replayed,
-    /// Callers that left before the end.
+    /// Callers that disconnected before the end.
     CallerLeft,
     /// Requests forwarded to the owner of their key.
     Forwarded,
-    /// Forwards that were sent on to another owner.
+    /// Forwarded requests that were passed on to another owner.
     ForwardMoved,
     /// Owners of a key that did not answer.
     OwnerSilent,
-    /// Retries after a runner could not be reached.
+    /// Retries after a runner was unreachable.
     RetryUnreachable,
     /// Retries after a runner refused.
     RetryRefused,
-    /// Retries after a runner broke off.
+    /// Retries after the connection to a runner broke.
     RetryBroken,
     /// Retries after a runner stalled.
     RetryStalled,
@@ -38,47 +38,47 @@
     RetryGone,
     /// Streams resumed on the same engine.
     Resumed,
-    /// Retries denied: budget spent.
+    /// Retries denied: the retry budget is used up.
     DeniedBudget,
     /// Retries denied: no time left.
     DeniedDeadline,
-    /// Retries denied: may not be repeated.
+    /// Retries denied: the request must not be repeated.
     DeniedNotRepeatable,
     /// Tokens prefilled.
     PrefillTokens,
-    /// Tokens prefilled whose result was not used.
+    /// Tokens prefilled whose result was never used.
     PrefillWasted,
-    /// Prefills done where the request decodes.
+    /// Prefills run on the decode engine.
     PrefillLocal,
-    /// Slots taken by estimate, the owner being out of reach.
+    /// Slots taken by estimate because no owner was reachable.
     SlotEstimated,
-    /// Cancels that an engine confirmed.
+    /// Cancels confirmed by an engine.
     Cancelled,
     /// Cancels sent again.
     CancelRetried,
     /// Attempts cancelled by reconciliation.
     Reconciled,
-    /// Reads or appends that the log failed.
+    /// Failed reads and appends of the log.
     LogFailed,
-    /// Log records that could not be read and were skipped.
+    /// Malformed log records that were skipped.
     LogSkipped,
     /// Appends of claims.
     ClaimAppends,
     /// Claims recorded in the log.
     Claims,
-    /// Claims left with a peer, the log being out.
+    /// Claims replicated to a peer while the log was unavailable.
     ClaimCopies,
     /// Heartbeats without an answer.
     BeatFailed,
-    /// Nodes confirmed dead.
+    /// Nodes declared dead.
     NodesDead,
-    /// Pauses of this process that made it catch up first.
+    /// Pauses of this process after which it had to catch up.
     Paused,
-    /// Policies that did not compile here.
+    /// Policies that failed to compile on this node.
     PolicyBroken,
 }
 
-/// Every counter with its name.
+/// All counters with their metric names, in the order of the enum.
 pub const COUNTERS: [(Counter, &str); 33] = [
     (Counter::Requests, "requests"),
     (Counter::Answers, "answers"),
@@ -118,7 +118,7 @@
 /// Prefix of every metric.
 pub const PREFIX: &str = "crosslane";
 
-/// Counts, and sends what it counts.
+/// Counters of this process, also sent to statsd.
 pub struct Metrics {
     statsd: StatsdClient,
     counts: Vec<AtomicU64>,
@@ -126,7 +126,7 @@
 }
 
 impl Metrics {
-    /// Metrics sent to a statsd address, or kept only.
+    /// Creates metrics that are sent to a statsd address, or only counted if there is none.
     pub fn new(statsd: Option<SocketAddr>) -> io::Result<Self> {
         let client = match statsd {
             None => StatsdClient::from_sink(PREFIX, NopMetricSink),
@@ -145,36 +145,36 @@
         })
     }
 
-    /// Counts one.
+    /// Adds one to a counter.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts several.
+    /// Adds to a counter.
     pub fn add(&self, counter: Counter, by: u64) {
-        let place = counter as usize;
-        self.counts[place].fetch_add(by, Ordering::Relaxed);
-        let _ = self.statsd.count(COUNTERS[place].1, by);
+        let index = counter as usize;
+        self.counts[index].fetch_add(by, Ordering::Relaxed);
+        let _ = self.statsd.count(COUNTERS[index].1, by);
     }
 
     /// Counts a refusal.
     pub fn refused(&self, code: Code) {
-        let place = CODES.iter().position(|row| row.0 == code).unwrap_or_default();
-        self.refusals[place].fetch_add(1, Ordering::Relaxed);
+        let index = CODES.iter().position(|row| row.0 == code).unwrap_or_default();
+        self.refusals[index].fetch_add(1, Ordering::Relaxed);
         let _ = self.statsd.count(&format!("refused.{}", code.name()), 1);
     }
 
-    /// Sends how long a request took to its first output, in milliseconds.
+    /// Sends the time to the first output of a request, in milliseconds.
     pub fn first_output(&self, millis: u64) {
         let _ = self.statsd.time("first_output", millis);
     }
 
-    /// Sends how many requests are in progress.
+    /// Sends the number of requests in progress.
     pub fn in_progress(&self, requests: u64) {
         let _ = self.statsd.gauge("in_progress", requests);
     }
 
-    /// Everything counted so far that is not zero.
+    /// Values of all counters that are not zero.
     pub fn snapshot(&self) -> BTreeMap<String, u64> {
         let read = |value: &AtomicU64| value.load(Ordering::Relaxed);
         let counts = COUNTERS.iter().zip(&self.counts);
@@ -185,6 +185,7 @@
     }
 }
 
+/// Unspecified address of the same family, with any port.
 fn unspecified(peer: SocketAddr) -> SocketAddr {
     if peer.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() }
 }
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Slots: a runner is chosen and a slot of it asked of the node that owns it.
+//! Slot reservation: chooses a runner and requests a slot from the node that owns it.
 
 use crate::metrics::Counter;
 use crate::node::Shared;
@@ -10,89 +10,95 @@
 use crosslane_state::runner::{Id, Runner};
 use std::time::Duration;
 
-/// Time between looks at whether the owner that keeps us waiting still lives.
-const OWNER_LOOK: Duration = Duration::from_millis(200);
+/// Interval between two checks whether the owner is still alive while its decision is pending.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runners tried for one slot.
-const CANDIDATES: usize = 2;
+/// Number of runners tried for one slot.
+const MAX_CANDIDATES: usize = 2;
 
-/// Why there is no slot.
+/// Why no slot was reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// No usable runner.
     NoRunner,
-    /// No slot in time.
+    /// No slot before the deadline.
     Full {
-        /// When coming back helps, in milliseconds.
-        retry_after: u64,
+        /// Time after which to retry, in milliseconds.
+        retry_after_ms: u64,
     },
 }
 
-/// A slot taken.
+/// Reserved slot.
 #[derive(Clone, Debug)]
 pub struct Slot {
     /// Runner.
     pub runner: Runner,
-    /// Node that granted it, if one did.
+    /// Node that granted the slot; none if it was taken without a reservation.
     pub owner: Option<Incarnation>,
-    /// Milliseconds until the prefill is to start.
-    pub start_in: u64,
+    /// Time until the prefill should start, in milliseconds.
+    pub start_in_ms: u64,
 }
 
-/// Takes a slot of one of the runners that will do.
-pub async fn take(shared: &Shared, wanted: Requirements<'_>, ask: Request) -> Result<Slot, Error> {
-    let mut refused: Option<u64> = None;
-    let mut avoid = Vec::new();
-    for _ in 0..CANDIDATES {
-        let Some(runner) = place(shared, Requirements { exclude: &avoid, ..wanted }).await else {
+/// Reserves a slot at one of the runners that meet the requirements.
+pub async fn reserve(
+    shared: &Shared,
+    requirements: Requirements<'_>,
+    request: Request,
+) -> Result<Slot, Error> {
+    let mut min_retry_ms: Option<u64> = None;
+    let mut exclude = Vec::new();
+    for _ in 0..MAX_CANDIDATES {
+        let Some(runner) = place(shared, Requirements { exclude: &exclude, ..requirements }).await
+        else {
             break;
         };
-        match reserve(shared, runner.id, ask).await {
-            Ok((owner, start_in)) => return Ok(Slot { runner, owner, start_in }),
-            Err(retry_after) => {
-                refused = Some(refused.map_or(retry_after, |it| it.min(retry_after)));
+        match request_slot(shared, runner.id, request).await {
+            Ok((owner, start_in_ms)) => return Ok(Slot { runner, owner, start_in_ms }),
+            Err(retry_after_ms) => {
+                min_retry_ms = Some(
+                    min_retry_ms.map_or(retry_after_ms, |shortest| shortest.min(retry_after_ms)),
+                );
                 let id = runner.id;
                 shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
-                avoid.push(id);
+                exclude.push(id);
             }
         }
     }
-    Err(refused.map_or(Error::NoRunner, |retry_after| Error::Full { retry_after }))
+    Err(min_retry_ms.map_or(Error::NoRunner, |retry_after_ms| Error::Full { retry_after_ms }))
 }
 
-/// Chooses a runner.
-pub async fn place(shared: &Shared, wanted: Requirements<'_>) -> Option<Runner> {
-    let Requirements { role, hold_ms: work, .. } = wanted;
-    let (serves, domains) = (wanted.serves.to_owned(), wanted.domains.to_vec());
-    let avoid = wanted.exclude.to_vec();
+/// Chooses a runner that meets the requirements.
+pub async fn place(shared: &Shared, requirements: Requirements<'_>) -> Option<Runner> {
+    let Requirements { role, hold_ms, .. } = requirements;
+    let (serves, domains) = (requirements.serves.to_owned(), requirements.domains.to_vec());
+    let exclude = requirements.exclude.to_vec();
     let choose = move |node: &mut Node, now| {
-        let (serves, domains, avoid) = (&serves, &domains, &avoid);
-        let id =
-            node.place(Requirements { role, serves, domains, exclude: avoid, hold_ms: work }, now)?;
+        let (serves, domains, exclude) = (&serves, &domains, &exclude);
+        let id = node.place(Requirements { role, serves, domains, exclude, hold_ms }, now)?;
         node.options().table.find(id).cloned()
     };
     shared.keeper.visit(choose).await
 }
 
-/// Reserves a slot with the runner's owner, or goes on by estimate without it.
-async fn reserve(
+/// Requests a slot from the runner's owner; without an owner, takes one by estimate.
+async fn request_slot(
     shared: &Shared,
     runner: Id,
-    ask: Request,
+    request: Request,
 ) -> Result<(Option<Incarnation>, u64), u64> {
     if !shared.settings.placement.reserve {
         return Ok((None, 0));
     }
     let owner = shared.keeper.visit(move |node, _| node.owner(runner)).await;
-    let grant = match owner {
-        Some(owner) if owner == shared.me => shared.keeper.ask(runner, ask).await,
-        Some(owner) => ask_owner(shared, owner, runner, ask).await,
+    let decision = match owner {
+        Some(owner) if owner == shared.me => shared.keeper.ask(runner, request).await,
+        Some(owner) => ask_owner(shared, owner, runner, request).await,
         None => Decision::NotOwner,
     };
-    match grant {
-        Decision::Granted { start_in_ms: start_in, wait_ms: wait } => {
-            shared.keeper.visit(move |node, _| node.board.record_wait(runner, wait)).await;
-            Ok((owner, start_in))
+    match decision {
+        Decision::Granted { start_in_ms, wait_ms } => {
+            shared.keeper.visit(move |node, _| node.board.record_wait(runner, wait_ms)).await;
+            Ok((owner, start_in_ms))
         }
         Decision::Refused { retry_after } => Err(retry_after),
         Decision::NotOwner => {
@@ -102,25 +108,26 @@
     }
 }
 
-/// Asks a runner's owner, for as long as it lives.
-async fn ask_owner(shared: &Shared, owner: Incarnation, runner: Id, ask: Request) -> Decision {
+/// Requests a slot from a runner's owner on another node, while that node is alive.
+async fn ask_owner(shared: &Shared, owner: Incarnation, runner: Id, request: Request) -> Decision {
     let Some(member) = shared.member(owner).await else {
         return Decision::NotOwner;
     };
-    let limit = Duration::from_millis(ask.max_wait_ms + ask.lead_ms) + OWNER_LOOK;
+    let timeout =
+        Duration::from_millis(request.max_wait_ms + request.lead_ms) + OWNER_CHECK_INTERVAL;
     let call = |client: PeerClient, context| async move {
-        client.reserve_slot(context, runner, ask).await
+        client.reserve_slot(context, runner, request).await
     };
     tokio::select! {
-        grant = shared.peers.call(member.control, limit, call) => grant.unwrap_or(Decision::NotOwner),
-        () = silence(shared, owner) => Decision::NotOwner,
+        decision = shared.peers.call(member.control, timeout, call) => decision.unwrap_or(Decision::NotOwner),
+        () = until_not_alive(shared, owner) => Decision::NotOwner,
     }
 }
 
-/// Resolves once a node is no longer believed alive.
-async fn silence(shared: &Shared, other: Incarnation) {
-    let alive = move |node: &mut Node, now| node.belief(other, now) == Belief::Alive;
+/// Resolves once the failure detector no longer considers a node alive.
+async fn until_not_alive(shared: &Shared, incarnation: Incarnation) {
+    let alive = move |node: &mut Node, now| node.belief(incarnation, now) == Belief::Alive;
     while shared.keeper.visit(alive).await {
-        tokio::time::sleep(OWNER_LOOK).await;
+        tokio::time::sleep(OWNER_CHECK_INTERVAL).await;
     }
 }
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -1,8 +1,8 @@
-//! One model request, from a slot to the last token.
+//! Execution of one model request, from the slot reservation to the last token.
 //!
-//! The decode slot is taken first, then a prefill slot; only then is work handed to an engine,
-//! so that a finished prefill has a place to go. Whatever an attempt may hold is freed when it
-//! ends, however it ends.
+//! An attempt reserves a decode slot first and then a prefill slot, and only then calls an engine,
+//! so that a decode engine is ready for the finished prefill. All resources that an attempt may
+//! hold are freed when it ends, whatever the result.
 
 use crate::claims::Claimed;
 use crate::engine::{self, Engine, Stream};
@@ -26,56 +26,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Times a stream is resumed on the same engine.
-const RESUMES: usize = 3;
+/// Number of times that a stream is resumed on the same engine.
+const MAX_RESUMES: usize = 3;
 
-/// Pause before a stream is resumed.
-const RESUME_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a stream is resumed.
+const RESUME_DELAY: Duration = Duration::from_millis(20);
 
-/// Time left for a retry once output has begun, in milliseconds.
-const AFTER_FIRST_MILLIS: u64 = 10_000;
+/// Time allowed for a retry once output has begun.
+const RETRY_AFTER_OUTPUT_MS: u64 = 10_000;
 
-/// Advice on when to come back when there is nothing better to go by, in milliseconds.
+/// Default of the advice when to retry, in milliseconds, where nothing better is known.
 pub const NOT_READY_MILLIS: u64 = 1_000;
 
-/// Added to a prefill's expected time before it counts as stalled.
+/// Added to the time allowed for a prefill or an import before it counts as stalled.
 const PREFILL_GRACE: Duration = Duration::from_secs(2);
 
-/// Pause between tries of an import that the decode engine refused.
-const IMPORT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before an import that the decode engine refused is repeated.
+const IMPORT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A model request to run.
+/// Model request to run.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request.
+    /// Request.
     pub completion: Completion,
-    /// What the policy says of it.
+    /// Decision of the policy on the request.
     pub verdict: Decision,
-    /// On whose behalf.
+    /// Organisation that sent the request.
     pub organisation: Organisation,
-    /// When the first output is due.
+    /// Deadline of the first output.
     pub deadline: Millis,
-    /// Hash of the key to claim first, for one that may not be repeated.
+    /// Hash of the key to claim before dispatch, if the request must not be repeated.
     pub claim: Option<u64>,
-    /// Number of the request at this node.
+    /// Sequence number of the request on this node.
     pub sequence: u64,
 }
 
 /// Why an attempt failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Failure {
-    /// Every caller has left.
-    Left,
+    /// All callers have disconnected.
+    CallersLeft,
     /// No usable runner.
     NoRunner,
-    /// No slot in time.
-    Overloaded { retry_after: u64 },
-    /// The claim could not be made.
+    /// No slot before the deadline.
+    Overloaded { retry_after_ms: u64 },
+    /// The claim failed.
     Claim(Claimed),
-    /// An engine failed.
+    /// A call to an engine failed.
     Engine { runner: Id, error: engine::Error },
 }
 
+/// State of a running request across its attempts.
 struct Run {
     shared: Arc<Shared>,
     job: Job,
@@ -85,7 +86,7 @@
     ran: bool,
 }
 
-/// What one attempt holds.
+/// Resources that one attempt holds.
 #[derive(Debug, Default)]
 struct Holds {
     decode: Option<Hold>,
@@ -94,7 +95,7 @@
     unused_tokens: u64,
 }
 
-/// Runs a request; its pieces go to the tape.
+/// Runs a request; its output goes to the tape.
 pub async fn run(shared: Arc<Shared>, job: Job, tape: Arc<Tape>) -> Result<(), Refusal> {
     let first = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
     tape.head(Head { status: 200, content_type: crate::http::JSON.to_owned() });
@@ -104,6 +105,7 @@
 }
 
 impl Run {
+    /// Makes attempts until one succeeds or no retry is allowed.
     async fn attempts(mut self, first: attempt::Id) -> Result<(), Refusal> {
         let mut attempt = first;
         loop {
@@ -112,7 +114,7 @@
             let tape = self.tape.clone();
             let result = tokio::select! {
                 biased;
-                () = tape.deserted() => Err(Failure::Left),
+                () = tape.deserted() => Err(Failure::CallersLeft),
                 result = self.attempt(attempt, &mut holds) => result,
             };
             self.ran |= holds.ran;
@@ -121,30 +123,31 @@
             let Err(failure) = result else {
                 return Ok(());
             };
-            let pause = self.retry(failure, attempt.retry_number).await?;
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay_ms = self.retry(failure, attempt.retry_number).await?;
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             attempt = attempt.next();
             self.splice.switch_attempt(attempt);
         }
     }
 
+    /// Makes one attempt.
     async fn attempt(&mut self, attempt: attempt::Id, holds: &mut Holds) -> Result<(), Failure> {
         let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next_offset();
-        let decode = self.take_decode(attempt, tokens, holds).await?;
+        let decode = self.reserve_decode(attempt, tokens, holds).await?;
         if tokens <= self.shared.settings.placement.local_prefill_tokens {
             self.shared.metrics.count(Counter::PrefillLocal);
-            self.dispatchable().await?;
-            touch(&mut holds.decode);
+            self.ensure_dispatch_allowed().await?;
+            mark_dispatched(&mut holds.decode);
             self.prefill(attempt, &decode, holds).await?;
         } else {
-            let prefill = self.take_prefill(attempt, tokens, holds).await?;
-            self.dispatchable().await?;
-            touch(&mut holds.prefill);
+            let prefill = self.reserve_prefill(attempt, tokens, holds).await?;
+            self.ensure_dispatch_allowed().await?;
+            mark_dispatched(&mut holds.prefill);
             self.prefill(attempt, &prefill, holds).await?;
             if let Some(hold) = &holds.prefill {
-                self.release_early(attempt, hold);
+                self.release_prefill_slot(attempt, hold);
             }
-            touch(&mut holds.decode);
+            mark_dispatched(&mut holds.decode);
             self.import(attempt, &decode, &prefill).await?;
             if let Some(hold) = holds.prefill.take() {
                 tokio::spawn(sweep::free(self.shared.clone(), attempt, hold));
@@ -153,82 +156,89 @@
         self.decode(attempt, &decode, holds).await
     }
 
-    async fn take_decode(
+    async fn reserve_decode(
         &mut self,
         attempt: attempt::Id,
         tokens: u64,
         holds: &mut Holds,
     ) -> Result<Runner, Failure> {
         let max_tokens = self.job.completion.max_tokens;
-        let lead = self.prefill_millis(tokens);
-        let hold = lead + max_tokens * self.shared.settings.placement.token_millis;
-        let transfer = self.transfer_millis(tokens);
-        let ask = Request {
-            lead_ms: lead,
-            transfer_ms: transfer,
-            ..self.ask(attempt, tokens, tokens + max_tokens, hold)
+        let lead_ms = self.prefill_ms(tokens);
+        let hold_ms = lead_ms + max_tokens * self.shared.settings.placement.token_millis;
+        let transfer_ms = self.transfer_ms(tokens);
+        let request = Request {
+            lead_ms,
+            transfer_ms,
+            ..self.slot_request(attempt, tokens, tokens + max_tokens, hold_ms)
         };
-        let Slot { runner, owner, start_in } = self.take(Role::Decode, ask).await?;
+        let Slot { runner, owner, start_in_ms } = self.reserve(Role::Decode, request).await?;
         holds.decode = Some(Hold { runner: runner.clone(), owner, dispatched: false });
-        tokio::time::sleep(Duration::from_millis(start_in)).await;
+        tokio::time::sleep(Duration::from_millis(start_in_ms)).await;
         self.shared.flights.touch(attempt, &runner.vm);
         Ok(runner)
     }
 
-    async fn take_prefill(
+    async fn reserve_prefill(
         &mut self,
         attempt: attempt::Id,
         tokens: u64,
         holds: &mut Holds,
     ) -> Result<Runner, Failure> {
-        let ask = self.ask(attempt, tokens, tokens, self.prefill_millis(tokens));
-        let Slot { runner, owner, .. } = self.take(Role::Prefill, ask).await?;
+        let request = self.slot_request(attempt, tokens, tokens, self.prefill_ms(tokens));
+        let Slot { runner, owner, .. } = self.reserve(Role::Prefill, request).await?;
         holds.prefill = Some(Hold { runner: runner.clone(), owner, dispatched: false });
         self.shared.flights.touch(attempt, &runner.vm);
         Ok(runner)
     }
 
-    /// An ask whose patience leaves time for prefill, transfer and the first output.
-    fn ask(&self, attempt: attempt::Id, tokens: u64, kv_tokens: u64, hold: u64) -> Request {
-        let work = self.prefill_millis(tokens) + self.transfer_millis(tokens);
-        let first = self.shared.settings.placement.token_millis;
+    /// Slot request whose maximum wait leaves time for prefill, transfer and the first output.
+    fn slot_request(
+        &self,
+        attempt: attempt::Id,
+        tokens: u64,
+        kv_tokens: u64,
+        hold_ms: u64,
+    ) -> Request {
+        let work_ms = self.prefill_ms(tokens) + self.transfer_ms(tokens);
+        let first_token_ms = self.shared.settings.placement.token_millis;
         Request {
             attempt,
             class: self.job.verdict.class,
             organisation: self.job.organisation,
             kv_tokens,
-            max_wait_ms: self.left().saturating_sub(work + first),
+            max_wait_ms: self.remaining_ms().saturating_sub(work_ms + first_token_ms),
             lead_ms: 0,
-            hold_ms: hold,
+            hold_ms,
             transfer_ms: 0,
         }
     }
 
-    async fn take(&self, role: Role, ask: Request) -> Result<Slot, Failure> {
-        let wanted = Requirements {
+    async fn reserve(&self, role: Role, request: Request) -> Result<Slot, Failure> {
+        let requirements = Requirements {
             role,
             serves: &self.job.completion.model,
             domains: &self.job.verdict.domains,
             exclude: &[],
-            hold_ms: ask.hold_ms,
+            hold_ms: request.hold_ms,
         };
-        reserve::take(&self.shared, wanted, ask).await.map_err(|error| match error {
+        reserve::reserve(&self.shared, requirements, request).await.map_err(|error| match error {
             reserve::Error::NoRunner => Failure::NoRunner,
-            reserve::Error::Full { retry_after } => Failure::Overloaded { retry_after },
+            reserve::Error::Full { retry_after_ms } => Failure::Overloaded { retry_after_ms },
         })
     }
 
-    /// Makes the claim, if one is due, and sees to it that this node may still dispatch.
-    async fn dispatchable(&mut self) -> Result<(), Failure> {
+    /// Makes the claim, if one is needed, and checks that this node may still dispatch.
+    async fn ensure_dispatch_allowed(&mut self) -> Result<(), Failure> {
         if let Some(key) = self.job.claim.filter(|_| !self.claimed) {
             match self.shared.claims.claim(key).await {
                 Claimed::Mine => self.claimed = true,
-                other => return Err(Failure::Claim(other)),
+                lost => return Err(Failure::Claim(lost)),
             }
         }
         if self.shared.fresh().await { Ok(()) } else { Err(Failure::NoRunner) }
     }
 
+    /// Prefills the prompt and the output so far.
     async fn prefill(
         &self,
         attempt: attempt::Id,
@@ -243,32 +253,34 @@
             done: self.splice.next_offset(),
             quick: self.job.verdict.class == Class::Quick,
         };
-        let expected = self.prefill_millis(completion.estimated_prompt_tokens());
-        let limit = Duration::from_millis(self.left().max(expected)) + PREFILL_GRACE;
-        let ran = std::mem::replace(&mut holds.ran, true);
-        let prefilled = self.engine(runner).prefill(&body, limit).await;
-        match prefilled {
+        let expected_ms = self.prefill_ms(completion.estimated_prompt_tokens());
+        let timeout = Duration::from_millis(self.remaining_ms().max(expected_ms)) + PREFILL_GRACE;
+        let ran_before = std::mem::replace(&mut holds.ran, true);
+        let result = self.engine(runner).prefill(&body, timeout).await;
+        match result {
             Ok(prefilled) => {
-                let tokens = prefilled.tokens - prefilled.cached;
-                self.shared.metrics.add(Counter::PrefillTokens, tokens);
-                holds.unused_tokens = tokens;
+                let computed_tokens = prefilled.tokens - prefilled.cached;
+                self.shared.metrics.add(Counter::PrefillTokens, computed_tokens);
+                holds.unused_tokens = computed_tokens;
                 Ok(())
             }
             Err(error) => {
-                holds.ran = ran || error.ran();
+                holds.ran = ran_before || error.ran();
                 Err(Failure::Engine { runner: runner.id, error })
             }
         }
     }
 
-    /// The prefill engine can take the next prompt while this result is still being moved.
-    fn release_early(&self, attempt: attempt::Id, hold: &Hold) {
+    /// Releases the prefill slot before the KV cache is transferred: meanwhile the engine can
+    /// prefill the next prompt.
+    fn release_prefill_slot(&self, attempt: attempt::Id, hold: &Hold) {
         if let Some(owner) = hold.owner {
             let (shared, runner) = (self.shared.clone(), hold.runner.id);
             tokio::spawn(async move { sweep::release(&shared, owner, runner, attempt).await });
         }
     }
 
+    /// Transfers the KV cache to the decode engine.
     async fn import(
         &self,
         attempt: attempt::Id,
@@ -280,12 +292,12 @@
             source: prefill.address.to_string(),
             max_tokens: self.job.completion.max_tokens,
         };
-        let limit = Duration::from_millis(self.left()) + PREFILL_GRACE;
+        let timeout = Duration::from_millis(self.remaining_ms()) + PREFILL_GRACE;
         loop {
-            match self.engine(decode).import(&body, limit).await {
+            match self.engine(decode).import(&body, timeout).await {
                 Ok(()) => return Ok(()),
-                Err(engine::Error::Refused { .. }) if self.left() > 0 => {
-                    tokio::time::sleep(IMPORT_PAUSE).await;
+                Err(engine::Error::Refused { .. }) if self.remaining_ms() > 0 => {
+                    tokio::time::sleep(IMPORT_RETRY_DELAY).await;
                 }
                 Err(error) => {
                     return Err(Failure::Engine { runner: decode.id, error });
@@ -294,6 +306,7 @@
         }
     }
 
+    /// Decodes to the end, and resumes the stream where it breaks off.
     async fn decode(
         &mut self,
         attempt: attempt::Id,
@@ -302,12 +315,14 @@
     ) -> Result<(), Failure> {
         let engine = self.engine(runner);
         let failed = |error| Failure::Engine { runner: runner.id, error };
-        let mut stream = engine.decode(&self.wanted(attempt)).await.map_err(failed)?;
+        let mut stream = engine.decode(&self.decode_body(attempt)).await.map_err(failed)?;
         let mut resumes = 0;
         loop {
             match self.read(attempt, &mut stream, holds).await {
                 Ok(()) => return Ok(()),
-                Err(engine::Error::Broken { .. } | engine::Error::Stalled) if resumes < RESUMES => {
+                Err(engine::Error::Broken { .. } | engine::Error::Stalled)
+                    if resumes < MAX_RESUMES =>
+                {
                     resumes += 1;
                     stream = self.resume(&engine, attempt).await.map_err(failed)?;
                 }
@@ -316,21 +331,21 @@
         }
     }
 
-    /// Reads on where a stream broke off; the connection may break more than once.
+    /// Reopens a broken stream at the next offset; repeated if this connection breaks too.
     async fn resume(&self, engine: &Engine, attempt: attempt::Id) -> Result<Stream, engine::Error> {
-        let mut tries = 0;
+        let mut resume_attempts = 0;
         loop {
             self.shared.metrics.count(Counter::Resumed);
-            tokio::time::sleep(RESUME_PAUSE).await;
-            tries += 1;
-            match engine.resume(&self.wanted(attempt)).await {
-                Err(engine::Error::Broken { .. }) if tries < RESUMES => {}
+            tokio::time::sleep(RESUME_DELAY).await;
+            resume_attempts += 1;
+            match engine.resume(&self.decode_body(attempt)).await {
+                Err(engine::Error::Broken { .. }) if resume_attempts < MAX_RESUMES => {}
                 result => return result,
             }
         }
     }
 
-    /// Reads a stream until its end mark.
+    /// Forwards a stream to the tape until its end mark.
     async fn read(
         &mut self,
         attempt: attempt::Id,
@@ -347,7 +362,7 @@
                     Action::Drop => {}
                     Action::Gap => return Err(broken("pieces are missing")),
                 },
-                Line::End { total_tokens: total } if self.splice.finish(attempt, total) => {
+                Line::End { total_tokens } if self.splice.finish(attempt, total_tokens) => {
                     return Ok(());
                 }
                 Line::End { .. } => return Err(broken("end mark too early")),
@@ -355,7 +370,8 @@
         }
     }
 
-    fn wanted(&self, attempt: attempt::Id) -> Decode {
+    /// Decode request that starts at the next offset.
+    fn decode_body(&self, attempt: attempt::Id) -> Decode {
         Decode {
             attempt: attempt.to_string(),
             from: self.splice.next_offset(),
@@ -363,28 +379,28 @@
         }
     }
 
-    /// Decides on a retry: the pause before it, or the refusal to give.
-    async fn retry(&self, failure: Failure, round: u16) -> Result<u64, Refusal> {
+    /// Decides on a retry: the delay before it in milliseconds, or the refusal to send.
+    async fn retry(&self, failure: Failure, retry_number: u16) -> Result<u64, Refusal> {
         let (runner, error) = match failure {
             Failure::Engine { runner, error } => (runner, error),
             other => return Err(self.refusal(&other)),
         };
         let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next_offset();
-        let asked = retry::Failure {
+        let failed_attempt = retry::Failure {
             ran: self.ran,
             repeatable: self.job.verdict.repeatable,
-            round,
-            left: self.left(),
-            needs: self.prefill_millis(tokens),
+            round: retry_number,
+            left: self.remaining_ms(),
+            needs: self.prefill_ms(tokens),
         };
         let decide = move |node: &mut Node, now| {
             node.mark_failed(runner, now);
-            node.budget.retry(asked)
+            node.budget.retry(failed_attempt)
         };
         match self.shared.keeper.visit(decide).await {
-            Ok(pause) => {
-                self.shared.metrics.count(reason(&error));
-                Ok(pause)
+            Ok(delay_ms) => {
+                self.shared.metrics.count(retry_counter(&error));
+                Ok(delay_ms)
             }
             Err(denial) => {
                 self.shared.metrics.count(denied(denial));
@@ -393,15 +409,16 @@
         }
     }
 
+    /// Refusal of a failure that allows no retry.
     fn refusal(&self, failure: &Failure) -> Refusal {
         match failure {
-            Failure::Left => {
+            Failure::CallersLeft => {
                 self.shared.metrics.count(Counter::CallerLeft);
                 self.refuse(Code::CallerLeft, "the caller left")
             }
-            Failure::Overloaded { retry_after } => self
+            Failure::Overloaded { retry_after_ms } => self
                 .refuse(Code::Overloaded, "no slot in time for the first output")
-                .retry_after(*retry_after),
+                .retry_after(*retry_after_ms),
             Failure::Claim(Claimed::Elsewhere) => {
                 Refusal::unknown(Code::KeyUnknown, "another node claimed this key")
             }
@@ -414,24 +431,27 @@
         }
     }
 
+    /// Refusal whose outcome says whether an engine may have run the request.
     fn refuse(&self, code: Code, message: impl Into<String>) -> Refusal {
         let outcome = if self.ran { Outcome::Unknown } else { Outcome::NotRun };
         Refusal { code, outcome, message: message.into(), retry_after_ms: None }
     }
 
-    fn left(&self) -> u64 {
+    /// Time left for the next step, in milliseconds.
+    fn remaining_ms(&self) -> u64 {
         if self.splice.next_offset() > 0 {
-            return AFTER_FIRST_MILLIS;
+            return RETRY_AFTER_OUTPUT_MS;
         }
         self.job.deadline.since(self.shared.clock.now())
     }
 
-    fn prefill_millis(&self, tokens: u64) -> u64 {
+    /// Expected duration of a prefill, in milliseconds.
+    fn prefill_ms(&self, tokens: u64) -> u64 {
         tokens * 1_000 / self.shared.settings.placement.prefill_rate
     }
 
-    /// Expected time on the link; none if the prompt is prefilled where it decodes.
-    fn transfer_millis(&self, tokens: u64) -> u64 {
+    /// Expected duration of the KV transfer, in milliseconds; zero if the decode engine prefills.
+    fn transfer_ms(&self, tokens: u64) -> u64 {
         let placement = self.shared.settings.placement;
         let local = tokens <= placement.local_prefill_tokens;
         if local { 0 } else { tokens * 1_000 / placement.link_rate }
@@ -443,6 +463,7 @@
 }
 
 impl Holds {
+    /// Frees all resources of an ended attempt.
     fn free(self, shared: &Arc<Shared>, attempt: attempt::Id) {
         shared.metrics.add(Counter::PrefillWasted, self.unused_tokens);
         for hold in [self.decode, self.prefill].into_iter().flatten() {
@@ -451,17 +472,20 @@
     }
 }
 
-fn touch(hold: &mut Option<Hold>) {
+/// Records that a call is about to be sent to the engine.
+fn mark_dispatched(hold: &mut Option<Hold>) {
     if let Some(hold) = hold {
         hold.dispatched = true;
     }
 }
 
+/// Error of a decode stream that breaks the protocol.
 fn broken(message: &str) -> engine::Error {
     engine::Error::Broken { message: message.to_owned() }
 }
 
-fn reason(error: &engine::Error) -> Counter {
+/// Counter of the retries after an error.
+fn retry_counter(error: &engine::Error) -> Counter {
     match error {
         engine::Error::Unreachable => Counter::RetryUnreachable,
         engine::Error::Refused { .. } => Counter::RetryRefused,
--- a/crates/transport/src/tape.rs
+++ b/crates/transport/src/tape.rs
@@ -1,4 +1,4 @@
-//! The output of one running request, kept so that several callers can read it whole.
+//! Output of one request, buffered so that several callers can each read it from the start.
 
 use bytes::Bytes;
 use crosslane_protocol::refusal::Refusal;
@@ -10,22 +10,22 @@
 /// How an output ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Whole.
+    /// Complete.
     Done,
-    /// With a refusal, possibly after some pieces.
+    /// Refused, possibly after some pieces.
     Refused(Refusal),
 }
 
-/// What a reader gets next.
+/// Next item of a reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A piece.
+    /// Piece of the output.
     Piece(Bytes),
-    /// The end.
+    /// End of the output.
     End(End),
 }
 
-/// Status and type of the answer.
+/// Status and content type of the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// HTTP status.
@@ -41,14 +41,14 @@
     end: Option<End>,
 }
 
-/// Output that grows until it ends.
+/// Buffered output that grows until it ends.
 #[derive(Debug)]
 pub struct Tape {
     inner: Mutex<Inner>,
     changed: watch::Sender<()>,
     readers: AtomicUsize,
-    deserted: watch::Sender<bool>,
-    seen_through: bool,
+    abandoned: watch::Sender<bool>,
+    keep_running: bool,
 }
 
 impl Default for Tape {
@@ -57,19 +57,19 @@
             inner: Mutex::default(),
             changed: watch::Sender::new(()),
             readers: AtomicUsize::new(0),
-            deserted: watch::Sender::new(false),
-            seen_through: false,
+            abandoned: watch::Sender::new(false),
+            keep_running: false,
         }
     }
 }
 
 impl Tape {
-    /// A tape of a run that is seen through to its end, whoever reads it.
+    /// Creates the tape of a run that continues to its end even if all readers leave.
     pub fn seen_through() -> Self {
-        Self { seen_through: true, ..Self::default() }
+        Self { keep_running: true, ..Self::default() }
     }
 
-    /// A tape that is already whole.
+    /// Creates a complete tape from a recorded answer.
     pub fn replay(answer: &Answer) -> Self {
         let tape = Self::default();
         tape.head(Head { status: answer.status, content_type: answer.content_type.clone() });
@@ -80,56 +80,57 @@
         tape
     }
 
-    /// Sets status and type.
+    /// Sets status and content type.
     pub fn head(&self, head: Head) {
         self.lock().head = Some(head);
     }
 
-    /// Adds a piece.
+    /// Appends a piece.
     pub fn push(&self, piece: Bytes) {
         self.lock().pieces.push(piece);
         self.changed.send_replace(());
     }
 
-    /// Ends the output; a second end changes nothing.
+    /// Ends the output; only the first call has an effect.
     pub fn end(&self, end: End) {
         self.lock().end.get_or_insert(end);
         self.changed.send_replace(());
     }
 
-    /// The answer so far; whole only if nothing more is to come.
+    /// Answer so far; complete only after the output has ended.
     pub fn answer(&self) -> Option<Answer> {
         let inner = self.lock();
         let head = inner.head.clone()?;
         Some(Answer {
             status: head.status,
             content_type: head.content_type,
-            chunks: inner.pieces.iter().map(|it| it.to_vec()).collect(),
+            chunks: inner.pieces.iter().map(|piece| piece.to_vec()).collect(),
         })
     }
 
-    /// Resolves once every reader has left.
+    /// Resolves once all readers have left, unless the run continues without readers.
     pub async fn deserted(&self) {
-        let mut deserted = self.deserted.subscribe();
-        if deserted.wait_for(|it| *it).await.is_err() {
+        let mut abandoned = self.abandoned.subscribe();
+        if abandoned.wait_for(|abandoned| *abandoned).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Reads from the start; `None` when all readers had left before.
+    /// Creates a reader from the start; `None` if all earlier readers have left.
     pub fn reader(self: &Arc<Self>) -> Option<Reader> {
         let _guard = self.lock();
-        if *self.deserted.borrow() {
+        if *self.abandoned.borrow() {
             return None;
         }
         self.readers.fetch_add(1, Ordering::Relaxed);
-        Some(Reader { tape: self.clone(), at: 0, changed: self.changed.subscribe() })
+        Some(Reader { tape: self.clone(), position: 0, changed: self.changed.subscribe() })
     }
 
+    /// Removes a reader.
     fn leave(&self) {
         let _guard = self.lock();
-        if self.readers.fetch_sub(1, Ordering::Relaxed) == 1 && !self.seen_through {
-            self.deserted.send_replace(true);
+        if self.readers.fetch_sub(1, Ordering::Relaxed) == 1 && !self.keep_running {
+            self.abandoned.send_replace(true);
         }
     }
 
@@ -138,11 +139,11 @@
     }
 }
 
-/// One caller's place on a tape.
+/// Read position of one caller.
 #[derive(Debug)]
 pub struct Reader {
     tape: Arc<Tape>,
-    at: usize,
+    position: usize,
     changed: watch::Receiver<()>,
 }
 
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Status and type, if known.
+    /// Status and content type, if already set.
     pub fn head(&self) -> Option<Head> {
         self.tape.lock().head.clone()
     }
 
-    /// Every piece until the end, joined.
+    /// Reads all pieces up to the end.
     pub async fn whole(&mut self) -> (Vec<Bytes>, End) {
         let mut pieces = Vec::new();
         loop {
@@ -176,10 +177,11 @@
         }
     }
 
+    /// Next item, if available.
     fn step(&mut self) -> Option<Step> {
         let inner = self.tape.lock();
-        if let Some(piece) = inner.pieces.get(self.at) {
-            self.at += 1;
+        if let Some(piece) = inner.pieces.get(self.position) {
+            self.position += 1;
             return Some(Step::Piece(piece.clone()));
         }
         inner.end.clone().map(Step::End)
