--- a/crates/transport/src/keeper.rs
+++ b/crates/transport/src/keeper.rs
@@ -24,7 +24,7 @@
     RequestSlot(runner::Id, Request, oneshot::Sender<Decision>),
     /// Release a slot, or withdraw its request.
     ReleaseSlot(runner::Id, attempt::Id),
-    /// Expire, grant and evict what is due.
+    /// Expire and grant waiting slot requests, and evict old idempotency records.
     Tick,
 }
 
@@ -71,7 +71,7 @@
     }
 
     /// Requests a slot and waits for the decision.
-    pub async fn ask(&self, runner: runner::Id, request: Request) -> Decision {
+    pub async fn request_slot(&self, runner: runner::Id, request: Request) -> Decision {
         let (reply, decision) = oneshot::channel();
         let _ = self.actor.cast(Message::RequestSlot(runner, request, reply));
         decision.await.unwrap_or(Decision::NotOwner)
@@ -82,7 +82,7 @@
         let _ = self.actor.cast(Message::ReleaseSlot(runner, attempt));
     }
 
-    /// Makes the actor handle what is due by now.
+    /// Expires and grants waiting slot requests, and evicts old idempotency records.
     pub fn tick(&self) {
         let _ = self.actor.cast(Message::Tick);
     }
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -91,8 +91,8 @@
     }
     let owner = shared.keeper.visit(move |node, _| node.owner(runner)).await;
     let decision = match owner {
-        Some(owner) if owner == shared.me => shared.keeper.ask(runner, request).await,
-        Some(owner) => ask_owner(shared, owner, runner, request).await,
+        Some(owner) if owner == shared.me => shared.keeper.request_slot(runner, request).await,
+        Some(owner) => request_from_owner(shared, owner, runner, request).await,
         None => Decision::NotOwner,
     };
     match decision {
@@ -109,7 +109,12 @@
 }
 
 /// Requests a slot from a runner's owner on another node, while that node is alive.
-async fn ask_owner(shared: &Shared, owner: Incarnation, runner: Id, request: Request) -> Decision {
+async fn request_from_owner(
+    shared: &Shared,
+    owner: Incarnation,
+    runner: Id,
+    request: Request,
+) -> Decision {
     let Some(member) = shared.member(owner).await else {
         return Decision::NotOwner;
     };
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -52,7 +52,7 @@
     }
 
     async fn reserve_slot(self, _: Context, runner: runner::Id, request: Request) -> Decision {
-        self.shared.keeper.ask(runner, request).await
+        self.shared.keeper.request_slot(runner, request).await
     }
 
     async fn release_slot(self, _: Context, runner: runner::Id, attempt: attempt::Id) {
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -156,6 +156,7 @@
         self.decode(attempt, &decode, holds).await
     }
 
+    /// Reserves a decode slot and waits until the prefill should start.
     async fn reserve_decode(
         &mut self,
         attempt: attempt::Id,
@@ -178,6 +179,7 @@
         Ok(runner)
     }
 
+    /// Reserves a prefill slot.
     async fn reserve_prefill(
         &mut self,
         attempt: attempt::Id,
@@ -232,7 +234,7 @@
         if let Some(key) = self.job.claim.filter(|_| !self.claimed) {
             match self.shared.claims.claim(key).await {
                 Claimed::Mine => self.claimed = true,
-                lost => return Err(Failure::Claim(lost)),
+                claimed => return Err(Failure::Claim(claimed)),
             }
         }
         if self.shared.fresh().await { Ok(()) } else { Err(Failure::NoRunner) }
