--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -79,14 +79,15 @@
     Starting,
     /// Accepts requests.
     Serving,
-    /// Announced as leaving: still accepts requests until the drain time is over.
+    /// Announced as leaving: accepts callers' requests until the drain time is over, and forwarded
+    /// ones after it.
     Leaving {
         /// Start of the drain.
         since: Millis,
     },
     /// Holds no more work or state: safe to stop.
     Stopped,
-    /// Was replaced, or read a record of a newer format: rejects everything.
+    /// Was replaced, or read a record of a newer format: rejects all requests.
     Fenced,
 }
 
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/pulse.rs
@@ -52,7 +52,8 @@
     }
 }
 
-/// After a pause, restarts the failure detector and catches up with the log, or else with peers.
+/// Restarts the failure detector after a pause, as its view of other nodes is stale, and catches up
+/// with the log, or with peers if the log fails.
 async fn recover_from_pause(shared: &Arc<Shared>) {
     shared.metrics.count(Counter::Paused);
     warn!(event = "paused"; "process was paused; catching up before serving");
