--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! One request to a service, with its retries.
 
 use crate::claims::Claimed;
 use crate::http::{self, Call};
@@ -20,51 +20,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A service call to make.
+/// A request to run at a service.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Path prefix of the service.
     pub prefix: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers to pass on.
+    /// Request headers to forward.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// What the policy says of it.
-    pub verdict: Decision,
-    /// When the answer is due.
+    /// Decision of the routing policy.
+    pub decision: Decision,
+    /// When the response is due.
     pub deadline: Millis,
-    /// Hash of the key to claim first, for one that may not be repeated.
-    pub claim: Option<u64>,
-    /// Number of the request at this node.
+    /// Hash of the idempotency key to claim before the first attempt, if the request must not be repeated.
+    pub claim_key_hash: Option<u64>,
+    /// Sequence number of the request at this node.
     pub sequence: u64,
 }
 
 impl Job {
-    fn wanted(&self) -> Requirements<'_> {
+    fn requirements(&self) -> Requirements<'_> {
         Requirements {
             role: Role::Service,
             serves: &self.prefix,
-            domains: &self.verdict.domains,
+            domains: &self.decision.domains,
             exclude: &[],
             hold_ms: 0,
         }
     }
 }
 
-/// Makes a call; the answer goes to the tape.
+/// Runs a request and writes the response to the tape.
 ///
-/// One that may not be repeated is seen through to its end even if the caller leaves, so that
-/// its answer is there when the caller comes back.
+/// A request that must not be repeated runs to its end even if every caller disconnects, so that
+/// its response can be replayed when the caller retries.
 pub async fn run(shared: Arc<Shared>, job: Job, tape: Arc<Tape>) -> Result<(), Refusal> {
-    if !job.verdict.repeatable {
-        return attempts(&shared, &job, &tape).await;
+    if !job.decision.repeatable {
+        return run_attempts(&shared, &job, &tape).await;
     }
     tokio::select! {
-        result = attempts(&shared, &job, &tape) => result,
+        result = run_attempts(&shared, &job, &tape) => result,
         () = tape.deserted() => {
             shared.metrics.count(Counter::CallerLeft);
             Err(Refusal::unknown(Code::CallerLeft, "the caller left"))
@@ -72,9 +72,9 @@
     }
 }
 
-async fn attempts(shared: &Arc<Shared>, job: &Job, tape: &Tape) -> Result<(), Refusal> {
-    if let Some(key) = job.claim {
-        match shared.claims.claim(key).await {
+async fn run_attempts(shared: &Arc<Shared>, job: &Job, tape: &Tape) -> Result<(), Refusal> {
+    if let Some(key_hash) = job.claim_key_hash {
+        match shared.claims.claim(key_hash).await {
             Claimed::Mine => {}
             Claimed::Elsewhere => {
                 return Err(Refusal::unknown(Code::KeyUnknown, "another node claimed this key"));
@@ -88,31 +88,36 @@
         }
     }
     let mut attempt = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
-    let mut ran = false;
+    let mut may_have_run = false;
     loop {
-        let runner = reserve::place(shared, job.wanted()).await;
-        let runner = runner.ok_or_else(|| refuse(ran, "no usable runner"))?;
+        let runner = reserve::place(shared, job.requirements()).await;
+        let runner = runner.ok_or_else(|| service_refusal(may_have_run, "no usable runner"))?;
         if !shared.fresh().await {
-            return Err(refuse(ran, "this node was replaced"));
+            return Err(service_refusal(may_have_run, "this node was replaced"));
         }
         shared.flights.begin(attempt);
         shared.flights.touch(attempt, &runner.vm);
-        let result = once(shared, job, &runner).await;
+        let result = send_attempt(shared, job, &runner).await;
         shared.flights.end(attempt);
         let id = runner.id;
         shared.keeper.visit(move |node, _| node.board.undo_sent(id)).await;
         let error = match result {
-            Ok(response) => return answer(shared, response, tape),
+            Ok(response) => return write_response(shared, response, tape),
             Err(error) => error,
         };
-        ran |= !matches!(error, http::Error::Connect { .. });
-        let pause = retry(shared, job, (id, &error), ran, attempt.retry_number).await?;
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        may_have_run |= !matches!(error, http::Error::Connect { .. });
+        let delay_ms =
+            retry_delay_ms(shared, job, (id, &error), may_have_run, attempt.retry_number).await?;
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         attempt = attempt.next();
     }
 }
 
-async fn once(shared: &Shared, job: &Job, runner: &Runner) -> Result<Response<Bytes>, http::Error> {
+async fn send_attempt(
+    shared: &Shared,
+    job: &Job,
+    runner: &Runner,
+) -> Result<Response<Bytes>, http::Error> {
     let call = Call {
         to: runner.address,
         method: job.method.clone(),
@@ -120,16 +125,16 @@
         headers: job.headers.clone(),
         body: job.body.clone(),
     };
-    let left = job.deadline.since(shared.clock.now());
-    shared.client.whole(call, Duration::from_millis(left)).await
+    let remaining_ms = job.deadline.since(shared.clock.now());
+    shared.client.whole(call, Duration::from_millis(remaining_ms)).await
 }
 
-fn answer(shared: &Shared, response: Response<Bytes>, tape: &Tape) -> Result<(), Refusal> {
+fn write_response(shared: &Shared, response: Response<Bytes>, tape: &Tape) -> Result<(), Refusal> {
     let (head, body) = response.into_parts();
     if body.len() > shared.settings.limits.answer_bytes {
         return Err(Refusal::unknown(Code::AnswerTooLong, "the service's answer is too long"));
     }
-    let content_type = head.headers.get(CONTENT_TYPE).and_then(|it| it.to_str().ok());
+    let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     tape.head(Head {
         status: head.status.as_u16(),
         content_type: content_type.unwrap_or("application/octet-stream").to_owned(),
@@ -138,17 +143,17 @@
     Ok(())
 }
 
-async fn retry(
+async fn retry_delay_ms(
     shared: &Shared,
     job: &Job,
     (runner, error): (Id, &http::Error),
-    ran: bool,
-    round: u16,
+    may_have_run: bool,
+    retry_number: u16,
 ) -> Result<u64, Refusal> {
     let failure = retry::Failure {
-        ran,
-        repeatable: job.verdict.repeatable,
-        round,
+        ran: may_have_run,
+        repeatable: job.decision.repeatable,
+        round: retry_number,
         left: job.deadline.since(shared.clock.now()),
         needs: 0,
     };
@@ -157,25 +162,25 @@
         node.budget.retry(failure)
     };
     match shared.keeper.visit(decide).await {
-        Ok(pause) => {
+        Ok(delay_ms) => {
             shared.metrics.count(match error {
                 http::Error::Connect { .. } => Counter::RetryUnreachable,
                 http::Error::Timeout { .. } => Counter::RetryStalled,
                 http::Error::Broken { .. } | http::Error::Status { .. } => Counter::RetryBroken,
             });
-            Ok(pause)
+            Ok(delay_ms)
         }
         Err(denial) => {
             shared.metrics.count(denied(denial));
-            let mut refusal = refuse(ran, "the service failed");
+            let mut refusal = service_refusal(may_have_run, "the service failed");
             refusal.code = Code::RunnerFailed;
             Err(refusal)
         }
     }
 }
 
-fn refuse(ran: bool, message: &str) -> Refusal {
-    let outcome = if ran { Outcome::Unknown } else { Outcome::NotRun };
+fn service_refusal(may_have_run: bool, message: &str) -> Refusal {
+    let outcome = if may_have_run { Outcome::Unknown } else { Outcome::NotRun };
     Refusal {
         code: Code::NoRunner,
         outcome,
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,6 +1,6 @@
-//! One HTTP connection to an endpoint, with an exact answer to whether a request was sent on it.
+//! An HTTP/1 client connection whose errors tell whether any part of a request may have been sent.
 //!
-//! Dropping a connection closes it at once, which ends the request that runs on it.
+//! Dropping a connection closes it immediately, which cancels the request in flight.
 
 use crate::clock;
 use bytes::{Bytes, BytesMut};
@@ -18,65 +18,69 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Time without acknowledgement after which a connection counts as dead: a partition is noticed
-/// well within the time that a request may still be saved elsewhere.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+/// Time without acknowledgement of sent data after which a connection is closed: short enough that
+/// after a network partition there is still time to retry the request at another endpoint.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Rest before a keep-alive probe, and between probes; the smallest that the system takes.
-const PROBE: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keep-alive probe and between probes: the minimum of the operating system.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Buffer of a connection, in bytes; hyper's smallest, since answers are relayed as they come.
-const BUFFER: usize = 8_192;
+/// Size of a connection's buffer: hyper's minimum, as responses are relayed as they arrive.
+const BUFFER_BYTES: usize = 8_192;
 
-/// A request with its whole body.
+/// A request with a buffered body.
 pub type Outgoing = Request<Full<Bytes>>;
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Debug, Display, Error)]
 pub enum Error {
-    /// No connection: nothing was sent.
+    /// No connection was established, or hyper returned the request unsent.
     #[display("no connection to {to}: {message}")]
     Connect {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
-        /// What was seen.
+        /// Cause.
         message: String,
     },
-    /// The connection broke off after something may have been sent.
-    #[display("connection to {to} broke off: {message}")]
+    /// The connection failed after part of the request may have been sent.
+    #[display("connection to {to} failed: {message}")]
     Broken {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
-        /// What was seen.
+        /// Cause.
         message: String,
     },
-    /// No answer in time; the request may run.
-    #[display("no answer from {to} in time")]
+    /// No response before the deadline; the request may be running.
+    #[display("no response from {to} before the deadline")]
     Timeout {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
     },
 }
 
 impl Error {
-    /// Whether something of the request may have reached the endpoint.
+    /// Whether part of the request may have reached the endpoint.
     pub fn sent(&self) -> bool {
         !matches!(self, Self::Connect { .. })
     }
 }
 
-/// A whole body, in which no pause is longer than this. It may take any time: with a limit for all of it,
-/// 0.9 MB over 250 KB/s are never read, however often they are asked for.
-pub async fn whole(mut body: Incoming, to: SocketAddr, pause: Duration) -> Result<Bytes, Error> {
+/// Reads a whole body, with a timeout for each frame. The total time is not limited: a total limit would never let
+/// 0.9 MB arrive over a 250 KB/s link, however often the request is retried.
+pub async fn whole(
+    mut body: Incoming,
+    to: SocketAddr,
+    frame_timeout: Duration,
+) -> Result<Bytes, Error> {
     let mut bytes = BytesMut::new();
     loop {
-        let frame = match timeout(pause, body.frame()).await {
+        let frame = match timeout(frame_timeout, body.frame()).await {
             Err(_) => return Err(Error::Timeout { to }),
             Ok(None) => return Ok(bytes.freeze()),
             Ok(Some(Err(error))) => return Err(Error::Broken { to, message: error.to_string() }),
             Ok(Some(Ok(frame))) => frame,
         };
-        bytes.extend_from_slice(frame.data_ref().map_or(&[], |it| it.as_ref()));
+        bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data.as_ref()));
     }
 }
 
@@ -86,66 +90,67 @@
     to: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    /// When it was last used, since the machine's start: it may have been closed during a suspension.
-    used: Duration,
+    /// When it was last used, as time since boot, which includes suspension of the VM: the endpoint may
+    /// have closed the connection meanwhile.
+    last_used: Duration,
 }
 
 impl Connection {
     /// Opens a connection.
-    pub async fn open(to: SocketAddr, limit: Duration) -> Result<Self, Error> {
-        let failed = |message: String| Error::Connect { to, message };
-        let stream = match timeout(limit, TcpStream::connect(to)).await {
-            Err(_) => return Err(failed("timed out".into())),
-            Ok(connected) => connected.map_err(|error| failed(error.to_string()))?,
+    pub async fn open(to: SocketAddr, connect_timeout: Duration) -> Result<Self, Error> {
+        let connect_error = |message: String| Error::Connect { to, message };
+        let stream = match timeout(connect_timeout, TcpStream::connect(to)).await {
+            Err(_) => return Err(connect_error("timed out".into())),
+            Ok(connected) => connected.map_err(|error| connect_error(error.to_string()))?,
         };
-        prepare(&stream).map_err(|error| failed(error.to_string()))?;
+        prepare(&stream).map_err(|error| connect_error(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER)
+            .max_buf_size(BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| connect_error(error.to_string()))?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to {to} ended: {error}");
+                log::debug!("connection to {to} failed: {error}");
             }
         });
-        Ok(Self { to, sender, driver, used: clock::boot() })
+        Ok(Self { to, sender, driver, last_used: clock::boot() })
     }
 
-    /// Sends a request and returns the answer once its head is there.
+    /// Sends a request and returns the response once its head has arrived.
     pub async fn send(
         &mut self,
         request: Outgoing,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Response<Incoming>, Error> {
         let to = self.to;
-        self.used = clock::boot();
-        match timeout_at(until, self.sender.try_send_request(request)).await {
+        self.last_used = clock::boot();
+        match timeout_at(deadline, self.sender.try_send_request(request)).await {
             Err(_) => Err(Error::Timeout { to }),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => {
-                let unsent = error.take_message().is_some();
-                let message = reason(&error.into_error());
+                let not_sent = error.take_message().is_some();
+                let message = cause(&error.into_error());
                 let connect = Error::Connect { to, message: message.clone() };
-                Err(if unsent { connect } else { Error::Broken { to, message } })
+                Err(if not_sent { connect } else { Error::Broken { to, message } })
             }
         }
     }
 
-    /// Waits until the connection can take another request; false if it was closed.
+    /// Waits until the connection can take another request; false if it is closed.
     pub async fn reusable(&mut self) -> bool {
-        self.used = clock::boot();
+        self.last_used = clock::boot();
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether a request can be sent now on a connection used no longer than `rest` ago.
-    pub fn fresh(&self, rest: Duration) -> bool {
-        self.sender.is_ready() && clock::boot().saturating_sub(self.used) < rest
+    /// Whether a request can be sent now, and the last use was less than `max_idle` ago.
+    pub fn fresh(&self, max_idle: Duration) -> bool {
+        self.sender.is_ready() && clock::boot().saturating_sub(self.last_used) < max_idle
     }
 }
 
-/// What the system saw, rather than hyper's summary of it.
-fn reason(error: &hyper::Error) -> String {
+/// Message of a hyper error, with its source: hyper's own message omits the operating system's error.
+fn cause(error: &hyper::Error) -> String {
     error.source().map_or_else(|| error.to_string(), |source| format!("{error}: {source}"))
 }
 
@@ -155,10 +160,12 @@
     }
 }
 
-/// Sets what notices a dead peer soon.
+/// Sets the socket options that detect a dead peer quickly.
 pub fn prepare(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE).with_interval(PROBE))
+    socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL),
+    )
 }
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -1,6 +1,6 @@
-//! Requests from callers, and those that other nodes forward: read, checked and judged.
+//! Entry of requests from callers and of requests that other nodes forward: parsing, validation and policy evaluation.
 
-use crate::headers::{DEADLINE, HOPS, KEY, NODE, ORGANISATION, PASSED};
+use crate::headers::{DEADLINE, HOPS, KEY, NODE, ORGANISATION, RELEASED_BY};
 use crate::http::{self, ReadError, Reply};
 use crate::metrics::Counter;
 use crate::node::{Phase, Progress, Shared};
@@ -24,38 +24,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest deadline that a caller may set, in milliseconds.
-const LONGEST_DEADLINE: u64 = 3_600_000;
+/// Longest deadline that a caller may set.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Longest name of an organisation, in bytes.
-const ORGANISATION_BYTES: usize = 128;
+/// Longest name of an organisation.
+const MAX_ORGANISATION_BYTES: usize = 128;
 
-/// A request, read and checked.
-pub struct Asked {
+/// A request that was read and validated.
+pub struct ParsedRequest {
     /// Head of the request.
     pub head: Parts,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// What it asks for.
+    /// Model or service that it is for.
     pub target: Target,
-    /// What the policy says of it.
-    pub verdict: Decision,
-    /// On whose behalf.
+    /// Decision of the routing policy.
+    pub decision: Decision,
+    /// Organisation that sent it.
     pub organisation: Organisation,
-    /// When the first output is due.
+    /// When the first output of a model or the response of a service is due.
     pub deadline: Millis,
-    /// Nodes passed so far.
+    /// How often it was forwarded; 0 if it came from a caller.
     pub hops: u32,
-    /// Nodes that have given its key up.
-    pub passed: Vec<Incarnation>,
+    /// Nodes that have released its key.
+    pub released_by: Vec<Incarnation>,
 }
 
-/// What a request asks for.
+/// What a request is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model.
+    /// A completion by a model.
     Model(Completion),
-    /// The service under a path prefix.
+    /// The service that is registered under this path prefix.
     Service(String),
 }
 
@@ -79,74 +79,81 @@
     http::json(status, &json!({ "live": true, "ready": ready, "phase": format!("{phase:?}") }))
 }
 
-async fn handle(shared: Arc<Shared>, request: Request<Incoming>, inner: bool) -> Response<Reply> {
+async fn handle(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+    is_forwarded: bool,
+) -> Response<Reply> {
     shared.metrics.count(Counter::Requests);
     let progress = shared.progress();
-    let answered = match ask(&shared, request, inner).await {
-        Ok(asked) => answer(&shared, asked, progress).await,
+    let result = match parse(&shared, request, is_forwarded).await {
+        Ok(parsed) => respond(&shared, parsed, progress).await,
         Err(refusal) => Err(refusal),
     };
-    let mut response = answered.unwrap_or_else(|refusal| refuse(&shared, &refusal));
+    let mut response = result.unwrap_or_else(|refusal| refusal_response(&shared, &refusal));
     let headers = response.headers_mut();
     if let Ok(vm) = HeaderValue::from_str(&shared.settings.vm) {
         headers.entry(NODE).or_insert(vm);
     }
-    if !inner && *shared.phase.borrow() != Phase::Serving {
+    if !is_forwarded && *shared.phase.borrow() != Phase::Serving {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// Reads and checks a request.
-async fn ask(
+/// Reads and validates a request, and evaluates the policy for it.
+async fn parse(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
-    inner: bool,
-) -> Result<Asked, Refusal> {
+    is_forwarded: bool,
+) -> Result<ParsedRequest, Refusal> {
     let limits = shared.settings.limits;
     let (head, body) = request.into_parts();
-    let limit = Duration::from_millis(limits.read_millis);
-    let body = http::read(body, limits.body_bytes, limit).await.map_err(|error| {
+    let read_timeout = Duration::from_millis(limits.read_millis);
+    let body = http::read(body, limits.body_bytes, read_timeout).await.map_err(|error| {
         let code = match error {
             ReadError::TooLong => Code::BodyTooLong,
             ReadError::Incomplete => Code::BodyIncomplete,
         };
         Refusal::not_run(code, error.to_string())
     })?;
-    admit(shared, inner).map_err(|refusal| unless_keyed(refusal, &head.headers))?;
-    let target = target(shared, &head, &body)?;
-    let hops = if inner { number(&head.headers, &HOPS)?.unwrap_or(1) as u32 } else { 0 };
-    let passed = if inner { passed(&head.headers) } else { Vec::new() };
-    let organisation = organisation(&head.headers)?;
-    let verdict = judge(shared, &head, &target, organisation)?;
-    let class = match verdict.class {
+    check_phase(shared, is_forwarded)
+        .map_err(|refusal| unknown_if_keyed(refusal, &head.headers))?;
+    let target = find_target(shared, &head, &body)?;
+    let hops =
+        if is_forwarded { parse_number(&head.headers, &HOPS)?.unwrap_or(1) as u32 } else { 0 };
+    let released_by = if is_forwarded { parse_released_by(&head.headers) } else { Vec::new() };
+    let organisation = parse_organisation(&head.headers)?;
+    let decision = evaluate_policy(shared, &head, &target, organisation)?;
+    let class_settings = match decision.class {
         Class::Quick => shared.settings.quick,
         Class::Patient => shared.settings.patient,
     };
-    let usual = match target {
-        Target::Model(_) => class.first_millis,
-        Target::Service(_) => class.service_millis,
+    let default_ms = match target {
+        Target::Model(_) => class_settings.first_millis,
+        Target::Service(_) => class_settings.service_millis,
     };
-    let wished = number(&head.headers, &DEADLINE)?.unwrap_or(usual).min(LONGEST_DEADLINE);
-    Ok(Asked {
+    let timeout_ms =
+        parse_number(&head.headers, &DEADLINE)?.unwrap_or(default_ms).min(MAX_DEADLINE_MS);
+    Ok(ParsedRequest {
         organisation: Organisation(hash::of(organisation.as_bytes())),
-        deadline: shared.clock.now() + wished,
+        deadline: shared.clock.now() + timeout_ms,
         head,
         body,
         target,
-        verdict,
+        decision,
         hops,
-        passed,
+        released_by,
     })
 }
 
-/// Whether the node takes new requests now.
-fn admit(shared: &Shared, inner: bool) -> Result<(), Refusal> {
+/// Refuses a request if the node's phase does not allow new ones.
+fn check_phase(shared: &Shared, is_forwarded: bool) -> Result<(), Refusal> {
     let now = shared.clock.now();
-    let drain = shared.settings.timing.drain_millis;
+    let drain_ms = shared.settings.timing.drain_millis;
     let (code, message) = match *shared.phase.borrow() {
         Phase::Serving => return Ok(()),
-        Phase::Leaving { since } if inner || now.since(since) < drain => return Ok(()),
+        Phase::Leaving { since } if is_forwarded || now.since(since) < drain_ms => return Ok(()),
         Phase::Starting => (Code::NotReady, "this node does not hold the policy in force yet"),
         Phase::Leaving { .. } | Phase::Stopped => (Code::Leaving, "this node is leaving"),
         Phase::Fenced => (Code::NotReady, "this node was replaced"),
@@ -154,57 +161,63 @@
     Err(Refusal::not_run(code, message).retry_after(NOT_READY_MILLIS))
 }
 
-/// A refusal before the key's owner was asked says nothing of what ran under the key.
-fn unless_keyed(refusal: Refusal, headers: &HeaderMap) -> Refusal {
-    let keyed = headers.contains_key(KEY);
-    let outcome = if keyed { Outcome::Unknown } else { refusal.outcome };
+/// Sets the outcome of a keyed request's refusal to unknown: only the key's owner can tell whether an earlier request
+/// under the key ran.
+fn unknown_if_keyed(refusal: Refusal, headers: &HeaderMap) -> Refusal {
+    let has_key = headers.contains_key(KEY);
+    let outcome = if has_key { Outcome::Unknown } else { refusal.outcome };
     Refusal { outcome, ..refusal }
 }
 
-fn target(shared: &Shared, head: &Parts, body: &Bytes) -> Result<Target, Refusal> {
+fn find_target(shared: &Shared, head: &Parts, body: &Bytes) -> Result<Target, Refusal> {
     let path = head.uri.path();
-    if let Some(form) = Api::from_path(path) {
+    if let Some(api) = Api::from_path(path) {
         if head.method != hyper::Method::POST {
             return Err(Refusal::not_run(Code::NoRoute, "completions are asked for by POST"));
         }
-        let completion = Completion::try_from(Raw { api: form, body })
+        let completion = Completion::try_from(Raw { api, body })
             .map_err(|error| Refusal::not_run(Code::BadBody, error.to_string()))?;
-        let known = |model: &str| shared.settings.runners.iter().any(|it| it.serves == model);
-        if !known(&completion.model) {
+        let is_served =
+            |model: &str| shared.settings.runners.iter().any(|runner| runner.serves == model);
+        if !is_served(&completion.model) {
             let message = format!("no runner serves model {:?}", completion.model);
             return Err(Refusal::not_run(Code::NoRoute, message));
         }
         return Ok(Target::Model(completion));
     }
-    let prefixes = shared.settings.runners.iter().filter(|it| it.role == Role::Service);
-    prefixes
-        .map(|it| it.serves.as_str())
+    let services = shared.settings.runners.iter().filter(|runner| runner.role == Role::Service);
+    services
+        .map(|runner| runner.serves.as_str())
         .filter(|prefix| path.starts_with(prefix))
         .max_by_key(|prefix| prefix.len())
         .map(|prefix| Target::Service(prefix.to_owned()))
         .ok_or_else(|| Refusal::not_run(Code::NoRoute, "no service under this path"))
 }
 
-fn organisation(headers: &HeaderMap) -> Result<&str, Refusal> {
+fn parse_organisation(headers: &HeaderMap) -> Result<&str, Refusal> {
     let Some(value) = headers.get(ORGANISATION) else {
         return Ok("anonymous");
     };
-    value.to_str().ok().filter(|it| !it.is_empty() && it.len() <= ORGANISATION_BYTES).ok_or_else(
-        || bad_header("crosslane-organisation: expected 1 to 128 visible ASCII characters"),
-    )
+    value
+        .to_str()
+        .ok()
+        .filter(|name| !name.is_empty() && name.len() <= MAX_ORGANISATION_BYTES)
+        .ok_or_else(|| {
+            bad_header("crosslane-organisation: expected 1 to 128 visible ASCII characters")
+        })
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Refusal> {
+fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let parsed = value.to_str().ok().and_then(|it| it.parse().ok());
-    let wrong = || bad_header(&format!("{name}: expected a whole number"));
-    parsed.map(Some).ok_or_else(wrong)
+    let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
+    let invalid = || bad_header(&format!("{name}: expected a whole number"));
+    parsed.map(Some).ok_or_else(invalid)
 }
 
-fn passed(headers: &HeaderMap) -> Vec<Incarnation> {
-    let value = headers.get(PASSED).and_then(|it| it.to_str().ok()).unwrap_or_default();
+fn parse_released_by(headers: &HeaderMap) -> Vec<Incarnation> {
+    let value = headers.get(RELEASED_BY).and_then(|value| value.to_str().ok()).unwrap_or_default();
     value.split(',').filter_map(Incarnation::parse).collect()
 }
 
@@ -212,7 +225,7 @@
     Refusal::not_run(Code::BadHeader, message)
 }
 
-fn judge(
+fn evaluate_policy(
     shared: &Shared,
     head: &Parts,
     target: &Target,
@@ -236,33 +249,35 @@
     })
 }
 
-/// Answers a checked request, here or at the owner of its key.
-async fn answer(
+/// Responds to a validated request; a keyed one may be forwarded to the owner of its key.
+async fn respond(
     shared: &Arc<Shared>,
-    asked: Asked,
+    request: ParsedRequest,
     progress: Progress,
 ) -> Result<Response<Reply>, Refusal> {
-    let Some(raw) = asked.head.headers.get(KEY) else {
+    let Some(key_header) = request.head.headers.get(KEY) else {
         shared.keeper.visit(|node, _| node.budget.fresh()).await;
         let sequence = shared.sequence();
         let key = Key::generate(shared.me, sequence);
         let tape = Arc::new(Tape::default());
         let reader = tape.reader();
-        job::spawn(shared, &asked, job::Id { key: key.clone(), keyed: false }, sequence, tape);
-        return render::render(shared, &asked, &key, reader, progress).await;
+        job::spawn(shared, &request, job::Id { key: key.clone(), keyed: false }, sequence, tape);
+        return render::render(shared, &request, &key, reader, progress).await;
     };
-    let key = raw.to_str().map_err(|_| bad_header("idempotency-key: expected ASCII"))?;
+    let key = key_header.to_str().map_err(|_| bad_header("idempotency-key: expected ASCII"))?;
     let key = Key::try_from(key).map_err(|error| bad_header(&error.to_string()))?;
-    keyed::answer(shared, asked, key, progress).await
+    keyed::respond(shared, request, key, progress).await
 }
 
-/// The answer that tells a refusal.
-fn refuse(shared: &Shared, refusal: &Refusal) -> Response<Reply> {
+/// HTTP response for a refusal.
+fn refusal_response(shared: &Shared, refusal: &Refusal) -> Response<Reply> {
     shared.metrics.refused(refusal.code);
     let body = refusal::Body { error: refusal.clone() };
     let mut response = http::json(refusal.code.status(), &body);
-    if let Some(millis) = refusal.retry_after_ms {
-        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(1_000)));
+    if let Some(retry_after_ms) = refusal.retry_after_ms {
+        response
+            .headers_mut()
+            .insert(RETRY_AFTER, HeaderValue::from(retry_after_ms.div_ceil(1_000)));
     }
     response
 }
--- a/crates/transport/src/forward.rs
+++ b/crates/transport/src/forward.rs
@@ -1,7 +1,7 @@
-//! Forwarding of keyed requests to the node that owns the key.
+//! Forwarding of requests with an idempotency key to the node that owns the key.
 
-use crate::entry::Asked;
-use crate::headers::{DEADLINE, HOPS, OWNER, PASSED};
+use crate::entry::ParsedRequest;
+use crate::headers::{DEADLINE, HOPS, OWNER, RELEASED_BY};
 use crate::http::{self, BodyError, Call, Reply};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
@@ -21,16 +21,16 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// Added to a request's time before its owner counts as silent.
-const GRACE: Duration = Duration::from_secs(10);
+/// Time after a request's deadline until its owner is treated as unresponsive.
+const OWNER_GRACE: Duration = Duration::from_secs(10);
 
-/// Headers that belong to one connection.
+/// Headers that apply to one connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 4] = [CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING];
 
-/// Forwards a request to a node; an error says what came of it instead of an answer.
+/// Forwards a request to a node; the error is the outcome without a response.
 pub async fn send(
     shared: &Shared,
-    asked: &Asked,
+    request: &ParsedRequest,
     flow: &Flow,
     owner: Incarnation,
 ) -> Result<Response<Incoming>, ForwardOutcome> {
@@ -38,45 +38,41 @@
         return Err(ForwardOutcome::Lost);
     };
     shared.metrics.count(Counter::Forwarded);
-    let left = asked.deadline.since(shared.clock.now());
-    let call = call(asked, flow, &member, left);
-    let limit = GRACE + Duration::from_millis(left);
-    let response = match shared.client.send(call, limit).await {
+    let remaining_ms = request.deadline.since(shared.clock.now());
+    let call = build_call(request, flow, &member, remaining_ms);
+    let timeout = OWNER_GRACE + Duration::from_millis(remaining_ms);
+    let response = match shared.client.send(call, timeout).await {
         Ok(response) => response,
         Err(error) => {
             shared.metrics.count(Counter::OwnerSilent);
-            let unreached = matches!(error, http::Error::Connect { .. });
-            return Err(if unreached {
-                ForwardOutcome::NotDelivered
-            } else {
-                ForwardOutcome::Lost
-            });
+            let not_sent = matches!(error, http::Error::Connect { .. });
+            return Err(if not_sent { ForwardOutcome::NotDelivered } else { ForwardOutcome::Lost });
         }
     };
     if response.status() != StatusCode::MISDIRECTED_REQUEST {
         return Ok(response);
     }
     shared.metrics.count(Counter::ForwardMoved);
-    let named = response.headers().get(OWNER).and_then(|it| it.to_str().ok());
-    let named = named.and_then(Incarnation::parse);
-    Err(named.map_or(ForwardOutcome::NotDelivered, ForwardOutcome::Redirected))
+    let new_owner = response.headers().get(OWNER).and_then(|value| value.to_str().ok());
+    let new_owner = new_owner.and_then(Incarnation::parse);
+    Err(new_owner.map_or(ForwardOutcome::NotDelivered, ForwardOutcome::Redirected))
 }
 
-fn call(asked: &Asked, flow: &Flow, member: &Member, left: u64) -> Call {
-    let path = asked.head.uri.path_and_query().map_or("/", |it| it.as_str());
-    let mut call = Call::new(asked.head.method.clone(), member.forward, path);
-    call.headers = end_to_end(&asked.head.headers);
+fn build_call(request: &ParsedRequest, flow: &Flow, member: &Member, remaining_ms: u64) -> Call {
+    let path = request.head.uri.path_and_query().map_or("/", |path| path.as_str());
+    let mut call = Call::new(request.head.method.clone(), member.forward, path);
+    call.headers = end_to_end(&request.head.headers);
     call.headers.insert(HOPS, HeaderValue::from(flow.redirected_by().len() + 1));
-    call.headers.insert(DEADLINE, HeaderValue::from(left));
-    let passed: Vec<_> = flow.redirected_by().iter().map(ToString::to_string).collect();
-    if let Ok(value) = HeaderValue::from_str(&passed.join(",")) {
-        call.headers.insert(PASSED, value);
+    call.headers.insert(DEADLINE, HeaderValue::from(remaining_ms));
+    let released_by: Vec<_> = flow.redirected_by().iter().map(ToString::to_string).collect();
+    if let Ok(value) = HeaderValue::from_str(&released_by.join(",")) {
+        call.headers.insert(RELEASED_BY, value);
     }
-    call.body = asked.body.clone();
+    call.body = request.body.clone();
     call
 }
 
-/// Headers that go from end to end.
+/// Headers without those that apply to one connection.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in HOP_BY_HOP {
@@ -85,25 +81,26 @@
     headers
 }
 
-/// Passes an owner's answer on; one that breaks off ends in an explicit error.
+/// Relays the owner's response; if an event stream breaks, it ends with an error event.
 pub fn relay(response: Response<Incoming>, progress: Progress) -> Response<Reply> {
     let (mut head, body) = response.into_parts();
     head.headers = end_to_end(&head.headers);
-    let events = head.headers.get(CONTENT_TYPE).is_some_and(|it| it == "text/event-stream");
-    let state = (Some(body), events, progress);
-    let frames = stream::unfold(state, |(body, events, progress)| async move {
+    let is_event_stream =
+        head.headers.get(CONTENT_TYPE).is_some_and(|value| value == "text/event-stream");
+    let state = (Some(body), is_event_stream, progress);
+    let frames = stream::unfold(state, |(body, is_event_stream, progress)| async move {
         let mut body = body?;
         let frame = match body.frame().await? {
-            Ok(frame) => return Some((Ok(frame), (Some(body), events, progress))),
-            Err(_) if events => Ok(Frame::data(broken())),
+            Ok(frame) => return Some((Ok(frame), (Some(body), is_event_stream, progress))),
+            Err(_) if is_event_stream => Ok(Frame::data(connection_error_event())),
             Err(error) => Err(BodyError::from(error)),
         };
-        Some((frame, (None, events, progress)))
+        Some((frame, (None, is_event_stream, progress)))
     });
     Response::from_parts(head, StreamBody::new(frames).boxed())
 }
 
-fn broken() -> Bytes {
+fn connection_error_event() -> Bytes {
     let error = Refusal::unknown(Code::RunnerFailed, "the node that ran this request broke off");
     render::event(&refusal::Body { error })
 }
--- a/crates/transport/src/headers.rs
+++ b/crates/transport/src/headers.rs
@@ -1,27 +1,27 @@
-//! Headers that crosslane reads and writes.
+//! Names of the HTTP headers that crosslane reads and writes.
 
 use hyper::header::HeaderName;
 
-/// Caller's idempotency key.
+/// Idempotency key set by the caller.
 pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Time until the first output is due, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("crosslane-deadline-ms");
 
-/// Organisation on whose behalf a request comes.
+/// Organisation on whose behalf a request is sent.
 pub const ORGANISATION: HeaderName = HeaderName::from_static("crosslane-organisation");
 
-/// Key of the request, minted if the caller sent none.
+/// Key of the request, generated if the caller sent none.
 pub const REQUEST: HeaderName = HeaderName::from_static("crosslane-request");
 
-/// VM of the node that answered.
+/// VM of the node that responded.
 pub const NODE: HeaderName = HeaderName::from_static("crosslane-node");
 
-/// Nodes that a forwarded request has passed.
+/// How often a request was forwarded between nodes.
 pub const HOPS: HeaderName = HeaderName::from_static("crosslane-hops");
 
-/// Owner to forward to instead.
+/// Owner of the key, in the response of a node that does not own it.
 pub const OWNER: HeaderName = HeaderName::from_static("crosslane-owner");
 
-/// Nodes that have given the key of a forwarded request up.
-pub const PASSED: HeaderName = HeaderName::from_static("crosslane-passed");
+/// Nodes that have released the key of a forwarded request.
+pub const RELEASED_BY: HeaderName = HeaderName::from_static("crosslane-passed");
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP by hyper: one pooled client and the bodies that both sides use.
+//! HTTP with hyper: a pooled client, and helpers for the bodies of clients and servers.
 
 use crate::connection;
 use bytes::Bytes;
@@ -18,49 +18,49 @@
 /// Any error of a body.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Reply = BoxBody<Bytes, BodyError>;
 
 /// Media type of JSON.
 pub const JSON: &str = "application/json";
 
-/// Time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that an idle connection is kept.
-const IDLE: Duration = Duration::from_secs(30);
+/// Time after which an idle pooled connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a call failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// No connection: nothing was sent.
+    /// No connection was established; nothing was sent.
     #[display("no connection to {to}")]
     Connect {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
     },
-    /// Broke off after something may have been sent.
-    #[display("call to {to} broke off: {message}")]
+    /// The connection failed after part of the request may have been sent, or the response is invalid.
+    #[display("call to {to} failed: {message}")]
     Broken {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
-        /// What was seen.
+        /// Cause.
         message: String,
     },
-    /// No answer in time.
-    #[display("no answer from {to} in time")]
+    /// No response before the deadline.
+    #[display("no response from {to} before the deadline")]
     Timeout {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
     },
-    /// Answered with an error status.
-    #[display("{to} answered {status}: {body}")]
+    /// The response has an error status.
+    #[display("{to} responded with status {status}: {body}")]
     Status {
-        /// Address called.
+        /// Remote address.
         to: SocketAddr,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Body.
+        /// Response body.
         body: String,
     },
 }
@@ -75,28 +75,28 @@
     }
 }
 
-/// A call to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Address.
+    /// Remote address.
     pub to: SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A call without body.
+    /// A call without a body.
     pub fn new(method: Method, to: SocketAddr, path: impl Into<String>) -> Self {
         Self { to, method, path: path.into(), headers: HeaderMap::new(), body: Bytes::new() }
     }
 
-    /// A call with a JSON body.
+    /// A POST call with a JSON body.
     pub fn json(to: SocketAddr, path: impl Into<String>, body: &impl Serialize) -> Self {
         let mut call = Self::new(Method::POST, to, path);
         call.headers.insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static(JSON));
@@ -105,7 +105,7 @@
     }
 }
 
-/// Makes calls over pooled connections.
+/// HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -115,18 +115,18 @@
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self { inner }
     }
 }
 
 impl Client {
-    /// Makes a call and returns the answer once its head is there.
-    pub async fn send(&self, call: Call, limit: Duration) -> Result<Response<Incoming>, Error> {
+    /// Sends a call and returns the response once its head has arrived.
+    pub async fn send(&self, call: Call, timeout: Duration) -> Result<Response<Incoming>, Error> {
         let to = call.to;
         let mut request = Request::builder()
             .method(call.method)
@@ -134,7 +134,7 @@
             .body(Full::new(call.body))
             .map_err(|error| Error::Broken { to, message: error.to_string() })?;
         request.headers_mut().extend(call.headers);
-        match tokio::time::timeout(limit, self.inner.request(request)).await {
+        match tokio::time::timeout(timeout, self.inner.request(request)).await {
             Err(_) => Err(Error::Timeout { to }),
             Ok(Err(error)) if error.is_connect() => Err(Error::Connect { to }),
             Ok(Err(error)) => Err(Error::Broken { to, message: error.to_string() }),
@@ -142,43 +142,43 @@
         }
     }
 
-    /// Makes a call and reads the whole answer.
-    pub async fn whole(&self, call: Call, limit: Duration) -> Result<Response<Bytes>, Error> {
+    /// Sends a call and reads the whole response within the timeout.
+    pub async fn whole(&self, call: Call, timeout: Duration) -> Result<Response<Bytes>, Error> {
         let to = call.to;
         let started = tokio::time::Instant::now();
-        let (head, body) = self.send(call, limit).await?.into_parts();
-        let left = limit.saturating_sub(started.elapsed());
-        match tokio::time::timeout(left, body.collect()).await {
+        let (head, body) = self.send(call, timeout).await?.into_parts();
+        let remaining = timeout.saturating_sub(started.elapsed());
+        match tokio::time::timeout(remaining, body.collect()).await {
             Err(_) => Err(Error::Timeout { to }),
             Ok(Err(error)) => Err(Error::Broken { to, message: error.to_string() }),
             Ok(Ok(body)) => Ok(Response::from_parts(head, body.to_bytes())),
         }
     }
 
-    /// Makes a call and reads a JSON answer; an error status is an error.
+    /// Sends a call and decodes the JSON response; an error status is an error.
     pub async fn fetch<T: DeserializeOwned>(
         &self,
         call: Call,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T, Error> {
         let to = call.to;
-        decode(to, self.whole(call, limit).await?)
+        decode(to, self.whole(call, timeout).await?)
     }
 
-    /// The same for an answer of any length: the limit holds until it begins, and for each pause in it.
+    /// Like `fetch`, for a response of any size: the timeout applies to the head and to each frame of the body.
     pub async fn fetch_long<T: DeserializeOwned>(
         &self,
         call: Call,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T, Error> {
         let to = call.to;
-        let (head, body) = self.send(call, limit).await?.into_parts();
-        let body = connection::whole(body, to, limit).await?;
+        let (head, body) = self.send(call, timeout).await?.into_parts();
+        let body = connection::whole(body, to, timeout).await?;
         decode(to, Response::from_parts(head, body))
     }
 }
 
-/// Decodes a JSON answer; an error status is an error.
+/// Decodes a JSON response; an error status is an error.
 fn decode<T: DeserializeOwned>(to: SocketAddr, response: Response<Bytes>) -> Result<T, Error> {
     let status = response.status();
     if !status.is_success() {
@@ -192,21 +192,21 @@
 /// Why a request's body could not be read.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ReadError {
-    /// Over the limit.
+    /// It exceeds the size limit.
     #[display("the body is too long")]
     TooLong,
-    /// Too slow, or broken off.
+    /// It did not arrive in time, or the connection failed.
     #[display("the body did not come whole in time")]
     Incomplete,
 }
 
-/// Reads a whole body within limits of bytes and time.
-pub async fn read<B>(body: B, bytes: usize, limit: Duration) -> Result<Bytes, ReadError>
+/// Reads a whole body within a size limit and a timeout.
+pub async fn read<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, ReadError>
 where
     B: Body,
     B::Error: Into<BodyError>,
 {
-    match tokio::time::timeout(limit, Limited::new(body, bytes).collect()).await {
+    match tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await {
         Err(_) => Err(ReadError::Incomplete),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ReadError::TooLong),
@@ -214,12 +214,12 @@
     }
 }
 
-/// A body that is there at once.
+/// A buffered body.
 pub fn full(bytes: impl Into<Bytes>) -> Reply {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub fn json(status: u16, body: &impl Serialize) -> Response<Reply> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(full(bytes));
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -1,6 +1,6 @@
-//! Runs of requests, apart from their callers' connections, and their endings.
+//! Runs requests in tasks of their own, independent of the callers' connections, and records their results.
 
-use crate::entry::{Asked, Target};
+use crate::entry::{ParsedRequest, Target};
 use crate::node::Shared;
 use crate::tape::{End, Tape};
 use crate::{call, forward, run};
@@ -15,63 +15,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for the next owner of a key to take a copy of its ending.
-const COPY: Duration = Duration::from_millis(100);
+/// Timeout for copying the result of a request to the next owner of its key.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What makes two requests under one key the same.
-pub fn fingerprint(asked: &Asked) -> u64 {
-    let head = format!("{} {}\n", asked.head.method, asked.head.uri);
-    hash::rendezvous_weight(hash::of(head.as_bytes()), hash::of(&asked.body))
+/// Hash of method, URI and body: requests that reuse a key must have the same fingerprint.
+pub fn fingerprint(request: &ParsedRequest) -> u64 {
+    let head = format!("{} {}\n", request.head.method, request.head.uri);
+    hash::rendezvous_weight(hash::of(head.as_bytes()), hash::of(&request.body))
 }
 
-/// The key of a run, and whether the ledger has it.
+/// Key of a request, and whether the ledger records it.
 pub struct Id {
-    /// Key, minted if the caller sent none.
+    /// Key, generated if the caller sent none.
     pub key: Key,
-    /// Whether the ledger has it.
+    /// Whether the caller sent the key, so that the ledger records it.
     pub keyed: bool,
 }
 
-/// Runs a request on its own, so that it ends whatever becomes of the caller's connection.
-pub fn spawn(shared: &Arc<Shared>, asked: &Asked, id: Id, sequence: u64, tape: Arc<Tape>) {
+/// Runs a request in a task of its own, which logs and records the result even if the caller disconnects.
+pub fn spawn(
+    shared: &Arc<Shared>,
+    request: &ParsedRequest,
+    id: Id,
+    sequence: u64,
+    tape: Arc<Tape>,
+) {
     let shared = shared.clone();
-    let claim = (id.keyed && !asked.verdict.repeatable).then(|| id.key.hash());
-    let verdict = asked.verdict.clone();
-    let deadline = asked.deadline;
-    let fingerprint = fingerprint(asked);
-    match &asked.target {
+    let claim_key_hash = (id.keyed && !request.decision.repeatable).then(|| id.key.hash());
+    let decision = request.decision.clone();
+    let deadline = request.deadline;
+    let fingerprint = fingerprint(request);
+    match &request.target {
         Target::Model(completion) => {
             let completion = completion.clone();
-            let organisation = asked.organisation;
-            let job = run::Job { completion, verdict, organisation, deadline, claim, sequence };
+            let organisation = request.organisation;
+            let job = run::Job {
+                completion,
+                verdict: decision,
+                organisation,
+                deadline,
+                claim: claim_key_hash,
+                sequence,
+            };
             tokio::spawn(async move {
                 let result = run::run(shared.clone(), job, tape.clone()).await;
-                conclude(&shared, id, fingerprint, &tape, result).await;
+                finish(&shared, id, fingerprint, &tape, result).await;
             });
         }
         Target::Service(prefix) => {
-            let path = asked.head.uri.path_and_query().map_or("/", |it| it.as_str());
+            let path = request.head.uri.path_and_query().map_or("/", |path| path.as_str());
             let job = call::Job {
                 prefix: prefix.clone(),
-                method: asked.head.method.clone(),
+                method: request.head.method.clone(),
                 path: path.to_owned(),
-                headers: forward::end_to_end(&asked.head.headers),
-                body: asked.body.clone(),
-                verdict,
+                headers: forward::end_to_end(&request.head.headers),
+                body: request.body.clone(),
+                decision,
                 deadline,
-                claim,
+                claim_key_hash,
                 sequence,
             };
             tokio::spawn(async move {
                 let result = call::run(shared.clone(), job, tape.clone()).await;
-                conclude(&shared, id, fingerprint, &tape, result).await;
+                finish(&shared, id, fingerprint, &tape, result).await;
             });
         }
     }
 }
 
-/// Ends a run: logged, recorded if it has a key, then told to its readers.
-async fn conclude(
+/// Finishes a request: logs its result, records it if the caller sent a key, then ends the tape for its readers.
+async fn finish(
     shared: &Arc<Shared>,
     id: Id,
     fingerprint: u64,
@@ -82,7 +95,7 @@
     let outcome = result.as_ref().err().map_or(Outcome::Done, |refusal| refusal.outcome);
     info!(event = "request", request = id.key.as_str(), outcome:% = outcome, refused = code; "");
     if id.keyed {
-        record(shared, id.key, fingerprint, tape, &result).await;
+        record_result(shared, id.key, fingerprint, tape, &result).await;
     }
     tape.end(match result {
         Ok(()) => End::Done,
@@ -90,8 +103,8 @@
     });
 }
 
-/// Records an ending, first at the node that would own the key next, then here.
-async fn record(
+/// Records a result, first at the node that would own the key next, then in the local ledger.
+async fn record_result(
     shared: &Arc<Shared>,
     key: Key,
     fingerprint: u64,
@@ -100,29 +113,29 @@
 ) {
     let answer = tape.answer().filter(|_| result.is_ok());
     if let Some(answer) = &answer {
-        copy(shared, &key, fingerprint, answer.clone()).await;
+        copy_to_successor(shared, &key, fingerprint, answer.clone()).await;
     }
     let end = match (result, answer) {
         (Ok(()), Some(answer)) => ledger::End::Done(Arc::new(answer)),
         (Err(refusal), _) if refusal.outcome == Outcome::NotRun => ledger::End::NotRun,
         _ => ledger::End::Unknown,
     };
-    let inner = shared.clone();
-    let finish = move |node: &mut Node, now| {
+    let shared_clone = shared.clone();
+    let update = move |node: &mut Node, now| {
         node.ledger.finish(&key, end, now);
-        inner.tapes().remove(&key);
+        shared_clone.tapes().remove(&key);
     };
-    shared.keeper.visit(finish).await;
+    shared.keeper.visit(update).await;
 }
 
-async fn copy(shared: &Arc<Shared>, key: &Key, fingerprint: u64, answer: Answer) {
-    let wanted = key.clone();
-    let next = shared.keeper.visit(move |node, _| node.successor(&wanted).cloned()).await;
-    let Some(next) = next else {
+async fn copy_to_successor(shared: &Arc<Shared>, key: &Key, fingerprint: u64, answer: Answer) {
+    let owned_key = key.clone();
+    let successor = shared.keeper.visit(move |node, _| node.successor(&owned_key).cloned()).await;
+    let Some(successor) = successor else {
         return;
     };
-    let ending = IdempotencyRecord { key: key.clone(), fingerprint, answer: Some(answer) };
+    let record = IdempotencyRecord { key: key.clone(), fingerprint, answer: Some(answer) };
     let call =
-        |client: PeerClient, context| async move { client.handover(context, vec![ending]).await };
-    let _ = shared.peers.call(next.control, COPY, call).await;
+        |client: PeerClient, context| async move { client.handover(context, vec![record]).await };
+    let _ = shared.peers.call(successor.control, HANDOVER_TIMEOUT, call).await;
 }
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -1,6 +1,6 @@
-//! Keyed requests on their way: the decisions are `crosslane_coordination::keyed`'s.
+//! Requests with an idempotency key: executes the steps that `crosslane_coordination::keyed` decides.
 
-use crate::entry::{Asked, Target};
+use crate::entry::{ParsedRequest, Target};
 use crate::headers::OWNER;
 use crate::http::{self, Reply};
 use crate::metrics::Counter;
@@ -21,77 +21,85 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for a node to give a key up.
-const INQUIRE: Duration = Duration::from_millis(500);
+/// Timeout for asking a node to release a key.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers a keyed request, here or at the owner of its key.
-pub async fn answer(
+/// Responds to a keyed request, or forwards it to the owner of its key.
+pub async fn respond(
     shared: &Arc<Shared>,
-    asked: Asked,
+    request: ParsedRequest,
     key: Key,
     progress: Progress,
 ) -> Result<Response<Reply>, Refusal> {
-    let mut flow = Flow::new(key, job::fingerprint(&asked), asked.verdict.repeatable);
-    if asked.hops > 0 {
-        flow = flow.into_forwarded(asked.passed.clone());
+    let mut flow = Flow::new(key, job::fingerprint(&request), request.decision.repeatable);
+    if request.hops > 0 {
+        flow = flow.into_forwarded(request.released_by.clone());
     }
-    let service = matches!(asked.target, Target::Service(_));
-    let seen_through = service && !asked.verdict.repeatable;
-    let (mut flow, mut step) = advance(shared, flow, seen_through, Flow::start).await;
+    let is_service = matches!(request.target, Target::Service(_));
+    let run_to_completion = is_service && !request.decision.repeatable;
+    let (mut flow, mut step) = advance(shared, flow, run_to_completion, Flow::start).await;
     loop {
-        let next: Advance = match step {
-            Step::RequestRelease(earlier) => {
-                let inquired = inquire(shared, &flow, earlier).await;
-                Box::new(move |flow, node, now| flow.on_release_reply(earlier, inquired, node, now))
+        let next: Transition = match step {
+            Step::RequestRelease(previous_owner) => {
+                let release_reply = request_release(shared, &flow, previous_owner).await;
+                Box::new(move |flow, node, now| {
+                    flow.on_release_reply(previous_owner, release_reply, node, now)
+                })
             }
-            Step::Forward(owner) => match forward::send(shared, &asked, &flow, owner).await {
+            Step::Forward(owner) => match forward::send(shared, &request, &flow, owner).await {
                 Ok(response) => return Ok(forward::relay(response, progress)),
-                Err(forwarded) => Box::new(move |flow, node, now| {
-                    flow.on_forward_outcome(owner, forwarded, node, now)
+                Err(outcome) => Box::new(move |flow, node, now| {
+                    flow.on_forward_outcome(owner, outcome, node, now)
                 }),
             },
-            Step::Redirect(owner) => return Ok(name(owner)),
-            Step::Refuse(reason) => return Err(not_begun(reason)),
+            Step::Redirect(owner) => return Ok(redirect_response(owner)),
+            Step::Refuse(reason) => return Err(not_started_refusal(reason)),
             Step::Run | Step::Join | Step::Replay(_) => {
-                return begun(shared, &asked, flow.key(), &step, progress).await;
+                return respond_from_tape(shared, &request, flow.key(), &step, progress).await;
             }
         };
-        (flow, step) = advance(shared, flow, seen_through, next).await;
+        (flow, step) = advance(shared, flow, run_to_completion, next).await;
     }
 }
 
-/// A decision about a keyed request on its way.
-type Advance = Box<dyn FnOnce(&mut Flow, &mut Node, Millis) -> Step + Send>;
+/// A transition of a keyed request's flow to its next step.
+type Transition = Box<dyn FnOnce(&mut Flow, &mut Node, Millis) -> Step + Send>;
 
-/// Lets a keyed request take its next step; a run that begins has its tape from then on.
+/// Applies a transition in the keeper task. If the next step is to run the request, its tape is registered in the same
+/// visit, so that later requests under the key can join it.
 async fn advance(
     shared: &Arc<Shared>,
     mut flow: Flow,
-    seen_through: bool,
-    decide: impl FnOnce(&mut Flow, &mut Node, Millis) -> Step + Send + 'static,
+    run_to_completion: bool,
+    transition: impl FnOnce(&mut Flow, &mut Node, Millis) -> Step + Send + 'static,
 ) -> (Flow, Step) {
-    let inner = shared.clone();
+    let shared_clone = shared.clone();
     let decide = move |node: &mut Node, now| {
-        let step = decide(&mut flow, node, now);
+        let step = transition(&mut flow, node, now);
         if step == Step::Run {
             node.budget.fresh();
-            let tape = if seen_through { Tape::seen_through() } else { Tape::default() };
-            inner.tapes().insert(flow.key().clone(), Arc::new(tape));
+            let tape = if run_to_completion { Tape::seen_through() } else { Tape::default() };
+            shared_clone.tapes().insert(flow.key().clone(), Arc::new(tape));
         }
         (flow, step)
     };
     shared.keeper.visit(decide).await
 }
 
-/// Asks a node that may have owned a key to give it up.
-async fn inquire(shared: &Shared, flow: &Flow, earlier: Incarnation) -> ReleaseReply {
-    let Some(member) = shared.member(earlier).await else {
+/// Asks a node that may have owned a key to release it.
+async fn request_release(
+    shared: &Shared,
+    flow: &Flow,
+    previous_owner: Incarnation,
+) -> ReleaseReply {
+    let Some(member) = shared.member(previous_owner).await else {
         return ReleaseReply::Released;
     };
-    let (key, by) = (flow.key().clone(), shared.me);
-    let call =
-        |client: PeerClient, context| async move { client.release_key(context, key, by).await };
-    match shared.peers.call(member.control, INQUIRE, call).await {
+    let (key, requester) = (flow.key().clone(), shared.me);
+    let call = |client: PeerClient, context| async move {
+        client.release_key(context, key, requester).await
+    };
+    match shared.peers.call(member.control, RELEASE_TIMEOUT, call).await {
         Ok(true) => ReleaseReply::Released,
         Ok(false) => ReleaseReply::Held,
         Err(_) => {
@@ -101,8 +109,8 @@
     }
 }
 
-/// Names the owner of a key to the node that forwarded its request here.
-fn name(owner: Incarnation) -> Response<Reply> {
+/// Response that names the key's owner to the node that forwarded the request here.
+fn redirect_response(owner: Incarnation) -> Response<Reply> {
     let mut response = http::json(StatusCode::MISDIRECTED_REQUEST.as_u16(), &json!({}));
     if let Ok(value) = HeaderValue::from_str(&owner.to_string()) {
         response.headers_mut().insert(OWNER, value);
@@ -110,10 +118,11 @@
     response
 }
 
-/// Answers a keyed request that runs or has run here.
-async fn begun(
+/// Responds to a keyed request with the output of its run at this node, which is started if needed, or with the
+/// recorded answer.
+async fn respond_from_tape(
     shared: &Arc<Shared>,
-    asked: &Asked,
+    request: &ParsedRequest,
     key: &Key,
     step: &Step,
     progress: Progress,
@@ -129,16 +138,16 @@
     match (step, tape) {
         (Step::Run, Some(tape)) => {
             let id = job::Id { key: key.clone(), keyed: true };
-            job::spawn(shared, asked, id, shared.sequence(), tape);
+            job::spawn(shared, request, id, shared.sequence(), tape);
         }
         (Step::Join, _) => shared.metrics.count(Counter::Joined),
         _ => {}
     }
-    render::render(shared, asked, key, reader, progress).await
+    render::render(shared, request, key, reader, progress).await
 }
 
-/// The refusal of a keyed request that was not begun.
-fn not_begun(reason: keyed::Refusal) -> Refusal {
+/// Refusal of a keyed request that was not started.
+fn not_started_refusal(reason: keyed::Refusal) -> Refusal {
     match reason {
         keyed::Refusal::Mismatch => {
             Refusal::not_run(Code::KeyMismatch, "this key was used for another request")
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets, actors and clocks of a crosslane node.
+//! Network servers and clients, actor tasks and clocks of a crosslane node.
 
 pub mod call;
 pub mod claims;
--- a/crates/transport/src/metered.rs
+++ b/crates/transport/src/metered.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts its bytes, so that control traffic is measured where it flows.
+//! A TCP stream that counts the bytes read and written, to measure control traffic at the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes read and written.
+/// Byte counters, which several streams may share.
 #[derive(Debug, Default)]
 pub struct Meter {
     /// Bytes read.
@@ -17,7 +17,7 @@
     pub written: AtomicU64,
 }
 
-/// A stream with its meter.
+/// A TCP stream that counts its bytes in a meter.
 #[derive(Debug)]
 pub struct Metered {
     stream: TcpStream,
@@ -25,7 +25,7 @@
 }
 
 impl Metered {
-    /// Counts a stream's bytes on a meter.
+    /// Wraps a stream so that its bytes are added to a meter.
     pub fn new(stream: TcpStream, meter: Arc<Meter>) -> Self {
         Self { stream, meter }
     }
@@ -37,11 +37,11 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
-        let poll = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let read = buffer.filled().len() - before;
+        let filled_before = buffer.filled().len();
+        let result = Pin::new(&mut self.stream).poll_read(context, buffer);
+        let read = buffer.filled().len() - filled_before;
         self.meter.read.fetch_add(read as u64, Ordering::Relaxed);
-        poll
+        result
     }
 }
 
@@ -51,11 +51,11 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let poll = Pin::new(&mut self.stream).poll_write(context, bytes);
-        if let Poll::Ready(Ok(written)) = poll {
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        if let Poll::Ready(Ok(written)) = result {
             self.meter.written.fetch_add(written as u64, Ordering::Relaxed);
         }
-        poll
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' port: status, leaving, and what is still in progress on a VM.
+//! HTTP interface for operators: status of the node, drain of VMs, and requests in progress on a VM.
 
 use crate::drain;
 use crate::follower;
@@ -18,21 +18,23 @@
 use std::time::Duration;
 use subtle::ConstantTimeEq;
 
-/// Time for a node to say what is in progress there.
-const BUSY: Duration = Duration::from_secs(1);
+/// Timeout for asking a node for the number of its requests in progress on a VM.
+const IN_PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Handles an operator's request.
+/// Handles a request from an operator.
 pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Reply> {
-    if !allowed(&shared, &request) {
+    if !is_authorized(&shared, &request) {
         return http::json(401, &json!({ "error": "operator key required" }));
     }
     let path = request.uri().path().to_owned();
     let parts: Vec<_> = path.trim_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
-        (&Method::GET, ["status"]) => http::json(200, &status(&shared).await),
-        (&Method::GET, ["vms", vm]) => http::json(200, &progress(&shared, vm).await),
-        (&Method::POST, ["vms", vm, "leave"]) => http::json(200, &leave(&shared, vm).await),
-        (&Method::POST, ["vms", vm, "back"]) => back(&shared, vm).await,
+        (&Method::GET, ["status"]) => http::json(200, &node_status(&shared).await),
+        (&Method::GET, ["vms", vm]) => http::json(200, &vm_progress(&shared, vm).await),
+        (&Method::POST, ["vms", vm, "leave"]) => {
+            http::json(200, &announce_leave(&shared, vm).await)
+        }
+        (&Method::POST, ["vms", vm, "back"]) => return_to_service(&shared, vm).await,
         (&Method::POST, ["stop"]) => {
             drain::announce(&shared);
             http::json(200, &json!({ "leaving": true }))
@@ -41,29 +43,29 @@
     }
 }
 
-fn allowed(shared: &Shared, request: &Request<Incoming>) -> bool {
-    let shown = request.headers().get(AUTHORIZATION).and_then(|it| it.to_str().ok());
-    let shown = shown.and_then(|it| it.strip_prefix("Bearer ")).unwrap_or_default();
-    shown.as_bytes().ct_eq(shared.settings.operator_key.as_bytes()).into()
+fn is_authorized(shared: &Shared, request: &Request<Incoming>) -> bool {
+    let token = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let token = token.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or_default();
+    token.as_bytes().ct_eq(shared.settings.operator_key.as_bytes()).into()
 }
 
-async fn status(shared: &Arc<Shared>) -> serde_json::Value {
-    let folded = |node: &mut Node, now| {
-        let newest = node.state.history.back().cloned();
-        let leaving: BTreeSet<_> = node.leaves_to_gossip().map(|it| it.vm.clone()).collect();
-        let owned: Vec<_> = node.owned().map(|it| it.name.clone()).collect();
-        let load = |(id, load): &(_, Report)| json!({ "runner": id, "load": load });
-        let loads: Vec<_> = node.load_reports(now).iter().map(load).collect();
+async fn node_status(shared: &Arc<Shared>) -> serde_json::Value {
+    let read_state = |node: &mut Node, now| {
+        let last_publication = node.state.history.back().cloned();
+        let leaving: BTreeSet<_> = node.leaves_to_gossip().map(|leave| leave.vm.clone()).collect();
+        let owned: Vec<_> = node.owned().map(|runner| runner.name.clone()).collect();
+        let to_json = |(id, load): &(_, Report)| json!({ "runner": id, "load": load });
+        let loads: Vec<_> = node.load_reports(now).iter().map(to_json).collect();
         let members: Vec<_> = node
             .state
             .roster
             .iter()
-            .map(|it| {
+            .map(|member| {
                 json!({
-                    "vm": it.vm,
-                    "incarnation": it.incarnation.to_string(),
-                    "domain": it.domain,
-                    "belief": format!("{:?}", node.belief(it.incarnation, now)),
+                    "vm": member.vm,
+                    "incarnation": member.incarnation.to_string(),
+                    "domain": member.domain,
+                    "belief": format!("{:?}", node.belief(member.incarnation, now)),
                 })
             })
             .collect();
@@ -74,13 +76,13 @@
             "leaving": leaving,
             "owned": owned,
             "loads": loads,
-            "accepted": newest.as_ref().is_none_or(|it| it.accepted),
+            "accepted": last_publication.as_ref().is_none_or(|publication| publication.accepted),
             "missing": node.state.unconfirmed_domains(),
             "keys": node.ledger.len(),
             "answer_bytes": node.ledger.bytes(),
         })
     };
-    let mut status = shared.keeper.visit(folded).await;
+    let mut status = shared.keeper.visit(read_state).await;
     let phase = *shared.phase.borrow();
     let meter = shared.peers.meter();
     status["vm"] = json!(shared.settings.vm);
@@ -98,53 +100,54 @@
     status
 }
 
-/// What is in progress on a VM, as far as every node can be asked.
-async fn progress(shared: &Arc<Shared>, vm: &str) -> serde_json::Value {
-    let wanted = vm.to_owned();
-    let known = move |node: &mut Node, _| {
+/// Requests in progress on a VM, summed over all nodes that respond. The VM is safe to stop only if every node
+/// responded.
+async fn vm_progress(shared: &Arc<Shared>, vm: &str) -> serde_json::Value {
+    let vm_name = vm.to_owned();
+    let read_members = move |node: &mut Node, _| {
         let mut members: Vec<_> = node.state.roster.iter().cloned().collect();
         members.extend(node.provisional_members());
-        (node.is_leaving(&wanted), node.has_vm(&wanted), members)
+        (node.is_leaving(&vm_name), node.has_vm(&vm_name), members)
     };
-    let (leaving, known, members) = shared.keeper.visit(known).await;
-    let mut busy = 0;
+    let (leaving, known, members) = shared.keeper.visit(read_members).await;
+    let mut in_progress = 0;
     let mut unreachable = Vec::new();
     for member in members {
-        let asked = vm.to_owned();
+        let vm_name = vm.to_owned();
         let call =
-            |client: PeerClient, context| async move { client.in_progress(context, asked).await };
-        match shared.peers.call(member.control, BUSY, call).await {
-            Ok(count) => busy += count,
+            |client: PeerClient, context| async move { client.in_progress(context, vm_name).await };
+        match shared.peers.call(member.control, IN_PROGRESS_TIMEOUT, call).await {
+            Ok(count) => in_progress += count,
             Err(_) => unreachable.push(member.vm),
         }
     }
-    let safe = (leaving || !known) && busy == 0 && unreachable.is_empty();
+    let safe = (leaving || !known) && in_progress == 0 && unreachable.is_empty();
     json!({
         "vm": vm,
         "leaving": leaving,
         "known": known,
-        "in_progress": busy,
+        "in_progress": in_progress,
         "unreachable": unreachable,
         "safe_to_stop": safe,
     })
 }
 
-/// Announces a VM as leaving, here and, if it answers, in the log.
-async fn leave(shared: &Arc<Shared>, vm: &str) -> serde_json::Value {
+/// Announces that a VM leaves: at this node, which gossips the announcement, and in the log if it is available.
+async fn announce_leave(shared: &Arc<Shared>, vm: &str) -> serde_json::Value {
     let id = format!("operator/{}/{vm}/{}", shared.me, shared.sequence());
     let leave = Leave { id, vm: vm.to_owned(), node: None };
-    let told = leave.clone();
-    let stamp = move |node: &mut Node, _| {
-        node.add_leave(told.clone());
-        (node.has_vm(&told.vm), node.state.with_node(told))
+    let local_leave = leave.clone();
+    let add_leave = move |node: &mut Node, _| {
+        node.add_leave(local_leave.clone());
+        (node.has_vm(&local_leave.vm), node.state.with_node(local_leave))
     };
-    let (known, leave) = shared.keeper.visit(stamp).await;
+    let (known, leave) = shared.keeper.visit(add_leave).await;
     let logged = follower::append(shared, &Record::Leave { leave }).await;
     json!({ "vm": vm, "known": known, "leaving": true, "logged": logged })
 }
 
-/// Takes a VM that was leaving back into use; only the log can say so.
-async fn back(shared: &Arc<Shared>, vm: &str) -> Response<Reply> {
+/// Returns a leaving VM to service; this takes effect only through a record in the log.
+async fn return_to_service(shared: &Arc<Shared>, vm: &str) -> Response<Reply> {
     let logged = follower::append(shared, &Record::Back { vm: vm.to_owned() }).await;
     let status = if logged { 200 } else { 503 };
     http::json(status, &json!({ "vm": vm, "back": logged }))
--- a/crates/transport/src/render.rs
+++ b/crates/transport/src/render.rs
@@ -1,6 +1,6 @@
-//! Answers from tapes: whole, or streamed as server-sent events.
+//! Builds HTTP responses from tapes, either buffered or streamed as server-sent events.
 
-use crate::entry::{Asked, Target};
+use crate::entry::{ParsedRequest, Target};
 use crate::headers::REQUEST;
 use crate::http::{self, BodyError, Reply};
 use crate::metrics::Counter;
@@ -18,28 +18,28 @@
 use hyper::{Response, StatusCode};
 use std::sync::Arc;
 
-/// Answers from a tape.
+/// Builds the response to a request from the tape of its run.
 pub async fn render(
     shared: &Arc<Shared>,
-    asked: &Asked,
+    request: &ParsedRequest,
     key: &Key,
     reader: Option<Reader>,
     progress: Progress,
 ) -> Result<Response<Reply>, Refusal> {
-    let mut reader = reader.ok_or_else(abandoned)?;
-    let mut response = match &asked.target {
+    let mut reader = reader.ok_or_else(abandoned_refusal)?;
+    let mut response = match &request.target {
         Target::Model(completion) if completion.stream => {
-            streamed(shared, completion, key, reader, progress).await?
+            stream_response(shared, completion, key, reader, progress).await?
         }
         Target::Model(completion) => {
-            let pieces = finished(shared, reader.whole().await)?;
-            let text: Vec<u8> = pieces.concat();
+            let chunks = chunks_or_refusal(shared, reader.whole().await)?;
+            let text: Vec<u8> = chunks.concat();
             let text = String::from_utf8_lossy(&text);
-            http::json(200, &completion.full(key.as_str(), &text, pieces.len() as u64))
+            http::json(200, &completion.full(key.as_str(), &text, chunks.len() as u64))
         }
         Target::Service(_) => {
-            let pieces = finished(shared, reader.whole().await)?;
-            service(&reader, pieces)
+            let chunks = chunks_or_refusal(shared, reader.whole().await)?;
+            service_response(&reader, chunks)
         }
     };
     if let Ok(value) = HeaderValue::from_str(key.as_str()) {
@@ -48,24 +48,27 @@
     Ok(response)
 }
 
-/// The refusal of a request that meets a run which every caller has left.
-fn abandoned() -> Refusal {
+/// Refusal of a request that would join a run which is being cancelled as all of its callers have disconnected.
+fn abandoned_refusal() -> Refusal {
     Refusal::unknown(Code::CallerLeft, "the earlier request is being abandoned")
         .retry_after(NOT_READY_MILLIS)
 }
 
-fn finished(shared: &Shared, (pieces, end): (Vec<Bytes>, End)) -> Result<Vec<Bytes>, Refusal> {
+fn chunks_or_refusal(
+    shared: &Shared,
+    (chunks, end): (Vec<Bytes>, End),
+) -> Result<Vec<Bytes>, Refusal> {
     match end {
         End::Done => {
             shared.metrics.count(Counter::Answers);
-            Ok(pieces)
+            Ok(chunks)
         }
         End::Refused(refusal) => Err(refusal),
     }
 }
 
-fn service(reader: &Reader, pieces: Vec<Bytes>) -> Response<Reply> {
-    let mut response = Response::new(http::full(pieces.concat()));
+fn service_response(reader: &Reader, chunks: Vec<Bytes>) -> Response<Reply> {
+    let mut response = Response::new(http::full(chunks.concat()));
     if let Some(head) = reader.head() {
         *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::OK);
         if let Ok(value) = HeaderValue::from_str(&head.content_type) {
@@ -75,20 +78,20 @@
     response
 }
 
-/// A stream of server-sent events on its way to a caller.
-struct Events {
+/// State of a response that is streamed as server-sent events.
+struct EventStream {
     shared: Arc<Shared>,
     completion: Completion,
     id: String,
     reader: Reader,
-    generated: u64,
-    first: Option<Step>,
+    generated_tokens: u64,
+    first_step: Option<Step>,
     ended: bool,
     _progress: Progress,
 }
 
-/// Answers by server-sent events; a refusal before the first piece is an answer of its own.
-async fn streamed(
+/// Responds with server-sent events; a refusal before the first chunk becomes a plain error response.
+async fn stream_response(
     shared: &Arc<Shared>,
     completion: &Completion,
     key: &Key,
@@ -96,18 +99,18 @@
     progress: Progress,
 ) -> Result<Response<Reply>, Refusal> {
     let started = shared.clock.now();
-    let first = match reader.next().await {
+    let first_step = match reader.next().await {
         Step::End(End::Refused(refusal)) => return Err(refusal),
         step => step,
     };
     shared.metrics.first_output(shared.clock.now().since(started));
-    let events = Events {
+    let events = EventStream {
         shared: shared.clone(),
         completion: completion.clone(),
         id: key.as_str().to_owned(),
         reader,
-        generated: 0,
-        first: Some(first),
+        generated_tokens: 0,
+        first_step: Some(first_step),
         ended: false,
         _progress: progress,
     };
@@ -121,25 +124,25 @@
     Ok(response)
 }
 
-impl Events {
+impl EventStream {
     async fn next(&mut self) -> Option<Bytes> {
         if self.ended {
             return None;
         }
-        let step = match self.first.take() {
+        let step = match self.first_step.take() {
             Some(step) => step,
             None => self.reader.next().await,
         };
         Some(match step {
-            Step::Piece(piece) => {
-                self.generated += 1;
-                let text = String::from_utf8_lossy(&piece);
+            Step::Piece(chunk) => {
+                self.generated_tokens += 1;
+                let text = String::from_utf8_lossy(&chunk);
                 event(&self.completion.chunk(&self.id, &text))
             }
             Step::End(End::Done) => {
                 self.ended = true;
                 self.shared.metrics.count(Counter::Answers);
-                let last = event(&self.completion.last_chunk(&self.id, self.generated));
+                let last = event(&self.completion.last_chunk(&self.id, self.generated_tokens));
                 Bytes::from([last.as_ref(), b"data: [DONE]\n\n"].concat())
             }
             Step::End(End::Refused(refusal)) => {
@@ -151,7 +154,7 @@
     }
 }
 
-/// One server-sent event with a JSON body.
+/// Formats one server-sent event with JSON data.
 pub fn event(body: &impl serde::Serialize) -> Bytes {
     Bytes::from(format!("data: {}\n\n", serde_json::to_string(body).unwrap_or_default()))
 }
--- a/crates/transport/src/serve.rs
+++ b/crates/transport/src/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP servers by hyper, with limits on heads, connections and waiting.
+//! HTTP/1 server with hyper, with limits on the size and arrival time of request heads and on connections.
 
 use crate::http::Reply;
 use hyper::body::Incoming;
@@ -14,11 +14,11 @@
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Connections at once; more wait in the system's queue.
+    /// Maximum number of open connections; further ones wait in the listener's backlog.
     pub connections: usize,
-    /// Time for a head to arrive, also on an idle connection.
+    /// Timeout for the arrival of a request's head, which also closes idle connections.
     pub header: Duration,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Serves until `stop` turns true, and until open connections have ended their requests.
+/// Accepts connections until `stop` becomes true, then waits until the requests in flight have ended.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
@@ -38,14 +38,14 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Reply>> + Send + 'static,
 {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+    let connection_permits = Arc::new(Semaphore::new(limits.connections));
     loop {
-        let Ok(permit) = permits.clone().acquire_owned().await else {
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|it| *it) => break,
+            _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, _)) = accepted else {
             continue;
@@ -55,8 +55,8 @@
         let mut stop = stop.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = handler(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
@@ -66,7 +66,7 @@
             let mut connection = std::pin::pin!(connection);
             let finished = tokio::select! {
                 _ = connection.as_mut() => true,
-                _ = stop.wait_for(|it| *it) => false,
+                _ = stop.wait_for(|stopped| *stopped) => false,
             };
             if !finished {
                 connection.as_mut().graceful_shutdown();
@@ -75,6 +75,6 @@
             drop(permit);
         });
     }
-    let all = u32::try_from(limits.connections).unwrap_or(u32::MAX);
-    let _ = permits.acquire_many(all).await;
+    let all_permits = u32::try_from(limits.connections).unwrap_or(u32::MAX);
+    let _ = connection_permits.acquire_many(all_permits).await;
 }
