--- a/crates/crosslane/src/load.rs
+++ b/crates/crosslane/src/load.rs
@@ -7,7 +7,7 @@
 use clap::ArgMatches;
 use crosslane_protocol::refusal::Body;
 use crosslane_standins::text as standin;
-use crosslane_transport::headers::{DEADLINE, KEY, ORGANISATION};
+use crosslane_transport::headers::{DEADLINE, IDEMPOTENCY_KEY, ORGANISATION};
 use crosslane_transport::http::{self, Call, Client};
 use hdrhistogram::Histogram;
 use http_body_util::BodyExt;
@@ -186,7 +186,7 @@
         let organisation = HeaderValue::from_str(&self.organisation).ok();
         let key = self.key.as_ref().and_then(|it| HeaderValue::from_str(it).ok());
         let deadline = (self.deadline_ms > 0).then(|| HeaderValue::from(self.deadline_ms));
-        let headers = [(ORGANISATION, organisation), (KEY, key), (DEADLINE, deadline)];
+        let headers = [(ORGANISATION, organisation), (IDEMPOTENCY_KEY, key), (DEADLINE, deadline)];
         for (name, value) in headers {
             if let Some(value) = value {
                 call.headers.insert(name, value);
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -355,7 +355,7 @@
     {
         match send_over(connection, build_request(call, endpoint, purpose), until).await {
             // The endpoint closed the connection while it was idle.
-            Err(error) if !error.sent() => continue,
+            Err(error) if !error.may_have_been_sent() => continue,
             Err(error) => {
                 node.idle_connections.close_all(to);
                 return Err(error);
@@ -417,7 +417,7 @@
 
 /// Outcome of a connection error for the endpoint's health.
 pub fn error_outcome(error: &Error) -> Outcome {
-    if error.sent() { Outcome::Failed } else { Outcome::Down }
+    if error.may_have_been_sent() { Outcome::Failed } else { Outcome::Down }
 }
 
 impl From<Failure> for Retry {
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -3,7 +3,7 @@
 
 use crate::event;
 use crate::exchange::Call;
-use crate::node::{InFlight, Node, Reply};
+use crate::node::{InFlight, Node, ResponseBody};
 use crate::refusal::{RETRY_AFTER, Reason, Refusal};
 use crate::{plain, quarantine, quota, shutdown, stream};
 use bytes::Bytes;
@@ -70,7 +70,7 @@
 }
 
 async fn serve(node: Arc<Node>, stream: TcpStream, caller: IpAddr) {
-    if let Err(error) = connection::prepare(&stream) {
+    if let Err(error) = connection::set_socket_options(&stream) {
         debug!("can't set the options of a caller's connection: {error}");
     }
     let limits = node.table().map_or(DEFAULT_LIMITS, |table| table.limits);
@@ -102,7 +102,11 @@
     }
 }
 
-async fn handle(node: Arc<Node>, request: Request<Incoming>, caller: IpAddr) -> Response<Reply> {
+async fn handle(
+    node: Arc<Node>,
+    request: Request<Incoming>,
+    caller: IpAddr,
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let parsed = Metadata::try_from(request.headers());
     let id = parsed.as_ref().ok().map(|ask| ask.id.clone());
@@ -127,7 +131,7 @@
     if response.body().is_end_stream() && entry.ending == CALLER_LEFT {
         entry.ending = ANSWERED;
     }
-    response.map(|body| Reply::new(LoggedBody { body, entry }))
+    response.map(|body| ResponseBody::new(LoggedBody { body, entry }))
 }
 
 async fn serve_request(
@@ -135,7 +139,7 @@
     request: Request<Incoming>,
     mut ask: Metadata,
     entry: &mut LogEntry,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let Some(mut table) = node.table() else {
         return Err(Refusal::retry_after(Reason::NotReady, RETRY_AFTER));
     };
@@ -297,7 +301,7 @@
 
 /// Response body that records in the log entry how the request ended.
 struct LoggedBody {
-    body: Reply,
+    body: ResponseBody,
     entry: LogEntry,
 }
 
@@ -359,7 +363,7 @@
     }
 }
 
-fn status_response(node: &Node, path: &str, metrics: &str) -> Response<Reply> {
+fn status_response(node: &Node, path: &str, metrics: &str) -> Response<ResponseBody> {
     let (status, body) = match path {
         path if path == metrics => match node.meter.encode() {
             Ok(text) => (StatusCode::OK, Bytes::from(text)),
--- a/crates/gateway/src/idle.rs
+++ b/crates/gateway/src/idle.rs
@@ -37,7 +37,7 @@
     pub fn take(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = lock(&self.connections);
         let connections = idle.get_mut(&to)?;
-        connections.retain(|connection| connection.fresh(self.max_idle));
+        connections.retain(|connection| connection.is_reusable(self.max_idle));
         connections.pop()
     }
 
@@ -45,7 +45,7 @@
     pub fn put_back(&self, to: SocketAddr, mut connection: Connection) {
         let pool = self.clone();
         tokio::spawn(async move {
-            if connection.reusable().await {
+            if connection.wait_ready().await {
                 pool.insert(to, connection);
             }
         });
@@ -79,7 +79,7 @@
     pub fn remove_expired(&self) {
         let mut idle = lock(&self.connections);
         idle.values_mut().for_each(|connections| {
-            connections.retain(|connection| connection.fresh(self.max_idle));
+            connections.retain(|connection| connection.is_reusable(self.max_idle));
         });
         idle.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -35,7 +35,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-pub use crosslane_transport::http::Reply;
+pub use crosslane_transport::http::ResponseBody;
 
 /// Time after the store recovers during which endpoints may still rewrite records that expired in
 /// the outage, in milliseconds: about 2 s for live endpoints, and a margin for reading the records.
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -4,7 +4,7 @@
 use crate::exchange::{self, Answer, Call, Failure, Slot};
 use crate::limit;
 use crate::metrics::{Metrics, Retry};
-use crate::node::{Node, Reply};
+use crate::node::{Node, ResponseBody};
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
 use crate::stall::{self, Watch};
@@ -47,13 +47,13 @@
     route: &Route,
     service: &str,
     call: &Call,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut attempts =
         Attempts { node, route, service, call, tried: Vec::new(), sent: 0, failover: None };
     // Once an attempt may have run the request, a later refusal does not undo that.
     let mut may_have_run = false;
     let mut reason = Reason::NoEndpoint;
-    let mut error_response: Option<Response<Reply>> = None;
+    let mut error_response: Option<Response<ResponseBody>> = None;
     while let Some(place) = attempts.next() {
         match attempts.attempt(place).await {
             Ok(Attempt::Final(response)) => return Ok(response),
@@ -87,9 +87,9 @@
 /// Response of an endpoint.
 enum Attempt {
     /// Passed on to the caller.
-    Final(Response<Reply>),
+    Final(Response<ResponseBody>),
     /// Server error; another endpoint may respond better.
-    Error(Response<Reply>),
+    Error(Response<ResponseBody>),
 }
 
 /// Successive attempts at a call.
@@ -194,7 +194,7 @@
     Ok(if error && !last { Attempt::Error(response) } else { Attempt::Final(response) })
 }
 
-fn buffered(parts: Parts, body: Bytes) -> Response<Reply> {
+fn buffered(parts: Parts, body: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(http::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = response::forwarded_headers(&parts.headers);
@@ -202,7 +202,7 @@
 }
 
 /// Streams a response to the caller; cut at the deadline.
-pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<Reply> {
+pub fn relay(node: &Arc<Node>, answer: Answer, call: &Call) -> Response<ResponseBody> {
     let status = answer.parts.status;
     let headers = response::forwarded_headers(&answer.parts.headers);
     let initial = Some((node.clone(), answer, call.clone()));
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Error responses that the node makes itself when no endpoint can serve a request.
 
-use crate::node::Reply;
+use crate::node::ResponseBody;
 use crosslane_coordination::identity::Denial;
 use crosslane_platform::response;
 use crosslane_transport::http;
@@ -114,7 +114,7 @@
     }
 
     /// Response to the caller.
-    pub fn into_response(self, id: Option<&str>) -> Response<Reply> {
+    pub fn into_response(self, id: Option<&str>) -> Response<ResponseBody> {
         let mut response = Response::new(http::full(self.reason.name()));
         *response.status_mut() = self.reason.status();
         *response.headers_mut() = response::local_reply_headers(id, self.retry_after);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -6,7 +6,7 @@
 use crate::event;
 use crate::exchange::{self, Answer, Slot};
 use crate::metrics::{Metrics, Retry};
-use crate::node::Reply;
+use crate::node::ResponseBody;
 use crate::quarantine;
 use crate::sse::Splitter;
 use crate::stream::{Failover, Generation};
@@ -77,7 +77,7 @@
     }
 
     /// Response body for the caller.
-    pub fn body(self) -> Reply {
+    pub fn body(self) -> ResponseBody {
         BoxBody::new(StreamBody::new(futures::stream::unfold(self, Self::next)))
     }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -7,7 +7,7 @@
 use crate::cache::{self, Hits};
 use crate::exchange::{self, Answer, Call, Failure, Slot};
 use crate::metrics::{Metrics, Retry};
-use crate::node::{Node, Reply};
+use crate::node::{Node, ResponseBody};
 use crate::plain;
 use crate::quarantine;
 use crate::refusal::{Reason, Refusal};
@@ -112,7 +112,7 @@
     }
 
     /// Runs the request at engines and returns the event stream.
-    pub async fn start(mut self) -> Result<Response<Reply>, Refusal> {
+    pub async fn start(mut self) -> Result<Response<ResponseBody>, Refusal> {
         let max_wait = Duration::from_millis(self.timeliness.max_wait_ms(&self.caller));
         let until = self.call.deadline.instant().min(self.call.arrived + max_wait);
         let hits = self.cache_hits().await;
@@ -413,7 +413,7 @@
         self.failover = Some(failover);
     }
 
-    fn relay(self, answer: Answer) -> Response<Reply> {
+    fn relay(self, answer: Answer) -> Response<ResponseBody> {
         let status = answer.parts.status;
         let headers = response::forwarded_headers(&answer.parts.headers);
         let mut response = Response::new(Relay::new(self, answer).body());
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -9,7 +9,7 @@
     Decode, Event, Events, Export, Held, HeldList, Import, Line, Load, Order, Prefill, Prefilled,
     RawLine,
 };
-use crosslane_transport::http::{BodyError, Call, Client, Reply, json};
+use crosslane_transport::http::{BodyError, Call, Client, ResponseBody, json};
 use crosslane_transport::serve;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -105,7 +105,7 @@
 }
 
 impl Engine {
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         let path = head.uri.path().to_owned();
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn prefill(&self, body: Incoming) -> Response<Reply> {
+    async fn prefill(&self, body: Incoming) -> Response<ResponseBody> {
         let Some(body) = read::<Prefill>(body).await else {
             return json(400, &json!({ "error": "not a prefill" }));
         };
@@ -171,7 +171,7 @@
         json(200, &Prefilled { tokens: total, cached })
     }
 
-    async fn import(&self, body: Incoming) -> Response<Reply> {
+    async fn import(&self, body: Incoming) -> Response<ResponseBody> {
         let Some(body) = read::<Import>(body).await else {
             return json(400, &json!({ "error": "not an import" }));
         };
@@ -222,7 +222,7 @@
         json(200, &json!({}))
     }
 
-    async fn export(&self, attempt: &str) -> Response<Reply> {
+    async fn export(&self, attempt: &str) -> Response<ResponseBody> {
         let mut state = self.lock();
         let ready = |it: &Attempt| matches!(it.stage, Stage::Prefilled(_));
         if !state.attempts.get(attempt).is_some_and(ready) {
@@ -234,7 +234,7 @@
         }
     }
 
-    async fn decode(self: Arc<Self>, body: Incoming, start: bool) -> Response<Reply> {
+    async fn decode(self: Arc<Self>, body: Incoming, start: bool) -> Response<ResponseBody> {
         let Some(body) = read::<Decode>(body).await else {
             return json(400, &json!({ "error": "not a decode" }));
         };
@@ -302,7 +302,7 @@
         }
     }
 
-    fn cancel(&self, attempt: &str) -> Response<Reply> {
+    fn cancel(&self, attempt: &str) -> Response<ResponseBody> {
         let mut state = self.lock();
         let freed = state.attempts.remove(attempt).is_some();
         state.tombstones.insert(attempt.to_owned());
@@ -336,7 +336,7 @@
         Events { events: kept.map(|(_, it)| *it).collect() }
     }
 
-    async fn order(&self, body: Incoming) -> Response<Reply> {
+    async fn order(&self, body: Incoming) -> Response<ResponseBody> {
         let Some(order) = read::<Order>(body).await else {
             return json(400, &json!({ "error": "not an order" }));
         };
@@ -348,7 +348,7 @@
         json(200, &json!({}))
     }
 
-    async fn fault(&self, body: Incoming) -> Response<Reply> {
+    async fn fault(&self, body: Incoming) -> Response<ResponseBody> {
         let Some(faults) = read::<Faults>(body).await else {
             return json(400, &json!({ "error": "not faults" }));
         };
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -2,7 +2,7 @@
 
 use crate::reply::{lost, query, read, take};
 use crosslane_protocol::platform::{Append, Appended, Page};
-use crosslane_transport::http::{Reply, json};
+use crosslane_transport::http::{ResponseBody, json};
 use crosslane_transport::serve;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -59,7 +59,7 @@
 }
 
 impl Log {
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         let path = head.uri.path().to_owned();
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
@@ -94,7 +94,7 @@
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
 
-    fn append(&self, name: &str, body: Append) -> Response<Reply> {
+    fn append(&self, name: &str, body: Append) -> Response<ResponseBody> {
         let mut state = self.lock();
         if state.faults.outage {
             return json(503, &json!({}));
@@ -114,7 +114,7 @@
         if lose { lost() } else { json(200, &Appended { offset }) }
     }
 
-    async fn read(&self, name: &str, from: u64, wait: Duration) -> Response<Reply> {
+    async fn read(&self, name: &str, from: u64, wait: Duration) -> Response<ResponseBody> {
         let mut changed = self.changed.subscribe();
         let deadline = tokio::time::Instant::now() + wait;
         loop {
--- a/crates/standins/src/reply.rs
+++ b/crates/standins/src/reply.rs
@@ -1,7 +1,7 @@
 //! Answers of stand-ins, lost ones included.
 
 use bytes::Bytes;
-use crosslane_transport::http::{BodyError, Reply};
+use crosslane_transport::http::{BodyError, ResponseBody};
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::Response;
@@ -17,7 +17,7 @@
 const BODY: Duration = Duration::from_secs(30);
 
 /// An answer whose connection breaks before it is whole.
-pub fn lost() -> Response<Reply> {
+pub fn lost() -> Response<ResponseBody> {
     let error = || Err::<Frame<Bytes>, BodyError>("reply lost on order".into());
     Response::new(StreamBody::new(stream::once(async move { error() })).boxed())
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,8 +1,8 @@
 //! A plain service that counts how often each key was run.
 
 use crate::reply::{lost, read, take};
-use crosslane_transport::headers::KEY;
-use crosslane_transport::http::{Reply, json};
+use crosslane_transport::headers::IDEMPOTENCY_KEY;
+use crosslane_transport::http::{ResponseBody, json};
 use crosslane_transport::serve;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -41,7 +41,7 @@
 }
 
 impl Service {
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         match (&head.method, head.uri.path()) {
             (&Method::GET, "/counts") => json(200, &*self.counts()),
@@ -52,7 +52,7 @@
                 json(200, &json!({}))
             }
             (_, path) => {
-                let key = head.headers.get(KEY).and_then(|it| it.to_str().ok());
+                let key = head.headers.get(IDEMPOTENCY_KEY).and_then(|it| it.to_str().ok());
                 let key = key.unwrap_or(path).to_owned();
                 let run = {
                     let mut runs = self.counts();
--- a/crates/standins/src/vms.rs
+++ b/crates/standins/src/vms.rs
@@ -2,7 +2,7 @@
 
 use crate::reply::read;
 use crosslane_protocol::platform::{State, Vm, VmList};
-use crosslane_transport::http::{Reply, json};
+use crosslane_transport::http::{ResponseBody, json};
 use crosslane_transport::serve;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -27,7 +27,7 @@
 }
 
 impl Vms {
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         let path = head.uri.path().to_owned();
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -60,14 +60,14 @@
 
 impl Error {
     /// Whether part of the request may have reached the endpoint.
-    pub fn sent(&self) -> bool {
+    pub fn may_have_been_sent(&self) -> bool {
         !matches!(self, Self::Connect { .. })
     }
 }
 
 /// Reads a whole body, with a timeout for each frame. The total time is not limited: a total limit would never let
 /// 0.9 MB arrive over a 250 KB/s link, however often the request is retried.
-pub async fn whole(
+pub async fn read_body(
     mut body: Incoming,
     to: SocketAddr,
     frame_timeout: Duration,
@@ -103,7 +103,7 @@
             Err(_) => return Err(connect_error("timed out".into())),
             Ok(connected) => connected.map_err(|error| connect_error(error.to_string()))?,
         };
-        prepare(&stream).map_err(|error| connect_error(error.to_string()))?;
+        set_socket_options(&stream).map_err(|error| connect_error(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
@@ -138,13 +138,13 @@
     }
 
     /// Waits until the connection can take another request; false if it is closed.
-    pub async fn reusable(&mut self) -> bool {
+    pub async fn wait_ready(&mut self) -> bool {
         self.last_used = clock::boot();
         self.sender.ready().await.is_ok()
     }
 
     /// Whether a request can be sent now, and the last use was less than `max_idle` ago.
-    pub fn fresh(&self, max_idle: Duration) -> bool {
+    pub fn is_reusable(&self, max_idle: Duration) -> bool {
         self.sender.is_ready() && clock::boot().saturating_sub(self.last_used) < max_idle
     }
 }
@@ -161,7 +161,7 @@
 }
 
 /// Sets the socket options that detect a dead peer quickly.
-pub fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -1,7 +1,7 @@
 //! Entry of requests from callers and of requests that other nodes forward: parsing, validation and policy evaluation.
 
-use crate::headers::{DEADLINE, HOPS, KEY, NODE, ORGANISATION, RELEASED_BY};
-use crate::http::{self, ReadError, Reply};
+use crate::headers::{DEADLINE, HOPS, IDEMPOTENCY_KEY, NODE, ORGANISATION, RELEASED_BY};
+use crate::http::{self, ReadError, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Phase, Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
@@ -60,7 +60,10 @@
 }
 
 /// Handles a request from a caller.
-pub async fn caller(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Reply> {
+pub async fn handle_caller(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     if request.uri().path() == "/healthz" {
         return health(&shared);
     }
@@ -68,11 +71,14 @@
 }
 
 /// Handles a request that another node forwards.
-pub async fn forwarded(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Reply> {
+pub async fn handle_forwarded(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     handle(shared, request, true).await
 }
 
-fn health(shared: &Shared) -> Response<Reply> {
+fn health(shared: &Shared) -> Response<ResponseBody> {
     let phase = *shared.phase.borrow();
     let ready = phase == Phase::Serving && !shared.paused();
     let status = if ready { 200 } else { 503 };
@@ -83,7 +89,7 @@
     shared: Arc<Shared>,
     request: Request<Incoming>,
     is_forwarded: bool,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     shared.metrics.count(Counter::Requests);
     let progress = shared.progress();
     let result = match parse(&shared, request, is_forwarded).await {
@@ -164,7 +170,7 @@
 /// Sets the outcome of a keyed request's refusal to unknown: only the key's owner can tell whether an earlier request
 /// under the key ran.
 fn unknown_if_keyed(refusal: Refusal, headers: &HeaderMap) -> Refusal {
-    let has_key = headers.contains_key(KEY);
+    let has_key = headers.contains_key(IDEMPOTENCY_KEY);
     let outcome = if has_key { Outcome::Unknown } else { refusal.outcome };
     Refusal { outcome, ..refusal }
 }
@@ -254,8 +260,8 @@
     shared: &Arc<Shared>,
     request: ParsedRequest,
     progress: Progress,
-) -> Result<Response<Reply>, Refusal> {
-    let Some(key_header) = request.head.headers.get(KEY) else {
+) -> Result<Response<ResponseBody>, Refusal> {
+    let Some(key_header) = request.head.headers.get(IDEMPOTENCY_KEY) else {
         shared.keeper.visit(|node, _| node.budget.fresh()).await;
         let sequence = shared.sequence();
         let key = Key::generate(shared.me, sequence);
@@ -270,7 +276,7 @@
 }
 
 /// HTTP response for a refusal.
-fn refusal_response(shared: &Shared, refusal: &Refusal) -> Response<Reply> {
+fn refusal_response(shared: &Shared, refusal: &Refusal) -> Response<ResponseBody> {
     shared.metrics.refused(refusal.code);
     let body = refusal::Body { error: refusal.clone() };
     let mut response = http::json(refusal.code.status(), &body);
--- a/crates/transport/src/forward.rs
+++ b/crates/transport/src/forward.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::ParsedRequest;
 use crate::headers::{DEADLINE, HOPS, OWNER, RELEASED_BY};
-use crate::http::{self, BodyError, Call, Reply};
+use crate::http::{self, BodyError, Call, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
 use crate::render;
@@ -82,7 +82,7 @@
 }
 
 /// Relays the owner's response; if an event stream breaks, it ends with an error event.
-pub fn relay(response: Response<Incoming>, progress: Progress) -> Response<Reply> {
+pub fn relay(response: Response<Incoming>, progress: Progress) -> Response<ResponseBody> {
     let (mut head, body) = response.into_parts();
     head.headers = end_to_end(&head.headers);
     let is_event_stream =
--- a/crates/transport/src/headers.rs
+++ b/crates/transport/src/headers.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderName;
 
 /// Idempotency key set by the caller.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Time until the first output is due, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("crosslane-deadline-ms");
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -19,7 +19,7 @@
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Body of a response.
-pub type Reply = BoxBody<Bytes, BodyError>;
+pub type ResponseBody = BoxBody<Bytes, BodyError>;
 
 /// Media type of JSON.
 pub const JSON: &str = "application/json";
@@ -173,7 +173,7 @@
     ) -> Result<T, Error> {
         let to = call.to;
         let (head, body) = self.send(call, timeout).await?.into_parts();
-        let body = connection::whole(body, to, timeout).await?;
+        let body = connection::read_body(body, to, timeout).await?;
         decode(to, Response::from_parts(head, body))
     }
 }
@@ -215,12 +215,12 @@
 }
 
 /// A buffered body.
-pub fn full(bytes: impl Into<Bytes>) -> Reply {
+pub fn full(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
 /// A response with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Response<Reply> {
+pub fn json(status: u16, body: &impl Serialize) -> Response<ResponseBody> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(full(bytes));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{ParsedRequest, Target};
 use crate::headers::OWNER;
-use crate::http::{self, Reply};
+use crate::http::{self, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
@@ -30,7 +30,7 @@
     request: ParsedRequest,
     key: Key,
     progress: Progress,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut flow = Flow::new(key, job::fingerprint(&request), request.decision.repeatable);
     if request.hops > 0 {
         flow = flow.into_forwarded(request.released_by.clone());
@@ -110,7 +110,7 @@
 }
 
 /// Response that names the key's owner to the node that forwarded the request here.
-fn redirect_response(owner: Incarnation) -> Response<Reply> {
+fn redirect_response(owner: Incarnation) -> Response<ResponseBody> {
     let mut response = http::json(StatusCode::MISDIRECTED_REQUEST.as_u16(), &json!({}));
     if let Ok(value) = HeaderValue::from_str(&owner.to_string()) {
         response.headers_mut().insert(OWNER, value);
@@ -126,7 +126,7 @@
     key: &Key,
     step: &Step,
     progress: Progress,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let tape = match step {
         Step::Replay(answer) => {
             shared.metrics.count(Counter::Replayed);
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::claims::Writer;
 use crate::clock::{self, Clock};
-use crate::http::{Client, Reply};
+use crate::http::{Client, ResponseBody};
 use crate::keeper::Keeper;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -344,12 +344,12 @@
     let limits = serve::Limits {
         header_bytes: shared.settings.limits.header_bytes,
         connections: shared.settings.limits.connections,
-        header: Duration::from_millis(shared.settings.limits.read_millis),
+        header_timeout: Duration::from_millis(shared.settings.limits.read_millis),
     };
-    let from_callers = handler(shared.clone(), entry::caller);
+    let from_callers = handler(shared.clone(), entry::handle_caller);
     let callers = tokio::spawn(serve::serve(callers, limits, stopped.clone(), from_callers));
     let inner = serve::Limits { header_bytes: limits.header_bytes * 2, ..Default::default() };
-    let from_nodes = handler(shared.clone(), entry::forwarded);
+    let from_nodes = handler(shared.clone(), entry::handle_forwarded);
     let forward = tokio::spawn(serve::serve(forward, inner, stopped.clone(), from_nodes));
     let from_operators = handler(shared.clone(), operator::handle);
     tokio::spawn(serve::serve(operators, serve::Limits::default(), stopped, from_operators));
@@ -474,7 +474,7 @@
     handle: fn(Arc<Shared>, Request<Incoming>) -> F,
 ) -> impl Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static
 where
-    F: Future<Output = Response<Reply>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     move |request| handle(shared.clone(), request)
 }
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::drain;
 use crate::follower;
-use crate::http::{self, Reply};
+use crate::http::{self, ResponseBody};
 use crate::node::{Phase, Shared};
 use crosslane_coordination::node::Node;
 use crosslane_coordination::record::{Leave, Record};
@@ -22,7 +22,7 @@
 const IN_PROGRESS_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Handles a request from an operator.
-pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Reply> {
+pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     if !is_authorized(&shared, &request) {
         return http::json(401, &json!({ "error": "operator key required" }));
     }
@@ -147,7 +147,7 @@
 }
 
 /// Returns a leaving VM to service; this takes effect only through a record in the log.
-async fn return_to_service(shared: &Arc<Shared>, vm: &str) -> Response<Reply> {
+async fn return_to_service(shared: &Arc<Shared>, vm: &str) -> Response<ResponseBody> {
     let logged = follower::append(shared, &Record::Back { vm: vm.to_owned() }).await;
     let status = if logged { 200 } else { 503 };
     http::json(status, &json!({ "vm": vm, "back": logged }))
--- a/crates/transport/src/render.rs
+++ b/crates/transport/src/render.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{ParsedRequest, Target};
 use crate::headers::REQUEST;
-use crate::http::{self, BodyError, Reply};
+use crate::http::{self, BodyError, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
@@ -25,7 +25,7 @@
     key: &Key,
     reader: Option<Reader>,
     progress: Progress,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut reader = reader.ok_or_else(abandoned_refusal)?;
     let mut response = match &request.target {
         Target::Model(completion) if completion.stream => {
@@ -67,7 +67,7 @@
     }
 }
 
-fn service_response(reader: &Reader, chunks: Vec<Bytes>) -> Response<Reply> {
+fn service_response(reader: &Reader, chunks: Vec<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(http::full(chunks.concat()));
     if let Some(head) = reader.head() {
         *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::OK);
@@ -97,7 +97,7 @@
     key: &Key,
     mut reader: Reader,
     progress: Progress,
-) -> Result<Response<Reply>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let started = shared.clock.now();
     let first_step = match reader.next().await {
         Step::End(End::Refused(refusal)) => return Err(refusal),
--- a/crates/transport/src/serve.rs
+++ b/crates/transport/src/serve.rs
@@ -1,6 +1,6 @@
 //! HTTP/1 server with hyper, with limits on the size and arrival time of request heads and on connections.
 
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
@@ -19,12 +19,12 @@
     /// Maximum number of open connections; further ones wait in the listener's backlog.
     pub connections: usize,
     /// Timeout for the arrival of a request's head, which also closes idle connections.
-    pub header: Duration,
+    pub header_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { header_bytes: 16_384, connections: 10_000, header: Duration::from_secs(60) }
+        Self { header_bytes: 16_384, connections: 10_000, header_timeout: Duration::from_secs(60) }
     }
 }
 
@@ -36,7 +36,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Response<Reply>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let connection_permits = Arc::new(Semaphore::new(limits.connections));
     loop {
@@ -60,7 +60,7 @@
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(limits.header)
+                .header_read_timeout(limits.header_timeout)
                 .max_buf_size(limits.header_bytes)
                 .serve_connection(TokioIo::new(stream), service);
             let mut connection = std::pin::pin!(connection);
