--- a/crates/crosslane/src/load.rs
+++ b/crates/crosslane/src/load.rs
@@ -233,7 +233,7 @@
     to: SocketAddr,
     sample: &Sample,
 ) -> Result<(u16, String), Error> {
-    let response = client.whole(sample.call(to), PATIENCE).await?;
+    let response = client.send_buffered(sample.call(to), PATIENCE).await?;
     let body = String::from_utf8_lossy(response.body()).into_owned();
     Ok((response.status().as_u16(), body))
 }
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -198,7 +198,7 @@
 }
 
 async fn read_body(body: Incoming, limits: Limits, left: Duration) -> Result<Bytes, Refusal> {
-    http::read(body, limits.max_body_bytes, left).await.map_err(|error| match error {
+    http::read_body(body, limits.max_body_bytes, left).await.map_err(|error| match error {
         ReadError::TooLong => Reason::BodyTooLong.into(),
         ReadError::Incomplete => Refusal::retry_after(Reason::BodyIncomplete, RETRY_AFTER),
     })
--- a/crates/harness/src/site.rs
+++ b/crates/harness/src/site.rs
@@ -222,13 +222,13 @@
     pub fn fault(&self, name: &str, faults: &Value) {
         let (_, address) = &self.standins[name];
         let call = Call::json(*address, "/faults", faults);
-        let _ = self.runtime.block_on(self.client.whole(call, ANSWER));
+        let _ = self.runtime.block_on(self.client.send_buffered(call, ANSWER));
     }
 
     /// Sets a VM's state in the platform's list.
     pub fn list(&self, vm: &str, state: State) {
         let call = Call::json(self.fleet.vms, format!("/vms/{vm}"), &state);
-        let _ = self.runtime.block_on(self.client.whole(call, ANSWER));
+        let _ = self.runtime.block_on(self.client.send_buffered(call, ANSWER));
     }
 
     /// A stand-in's JSON answer.
--- a/crates/standins/src/reply.rs
+++ b/crates/standins/src/reply.rs
@@ -24,7 +24,7 @@
 
 /// Reads a JSON body.
 pub async fn read<T: DeserializeOwned>(body: Incoming) -> Option<T> {
-    let bytes = crosslane_transport::http::read(body, BODY_BYTES, BODY).await.ok()?;
+    let bytes = crosslane_transport::http::read_body(body, BODY_BYTES, BODY).await.ok()?;
     serde_json::from_slice(&bytes).ok()
 }
 
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -126,7 +126,7 @@
         body: job.body.clone(),
     };
     let remaining_ms = job.deadline.since(shared.clock.now());
-    shared.client.whole(call, Duration::from_millis(remaining_ms)).await
+    shared.client.send_buffered(call, Duration::from_millis(remaining_ms)).await
 }
 
 fn write_response(shared: &Shared, response: Response<Bytes>, tape: &Tape) -> Result<(), Refusal> {
--- a/crates/transport/src/engine.rs
+++ b/crates/transport/src/engine.rs
@@ -121,7 +121,7 @@
     pub async fn cancel(&self, attempt: attempt::Id) -> bool {
         let call = Call::new(Method::DELETE, self.address, format!("/attempts/{attempt}"));
         let confirmed = |status: hyper::StatusCode| status.is_success() || status == GONE[0];
-        self.client.whole(call, SHORT).await.is_ok_and(|it| confirmed(it.status()))
+        self.client.send_buffered(call, SHORT).await.is_ok_and(|it| confirmed(it.status()))
     }
 
     /// Attempts that hold memory.
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -116,7 +116,7 @@
     let limits = shared.settings.limits;
     let (head, body) = request.into_parts();
     let read_timeout = Duration::from_millis(limits.read_millis);
-    let body = http::read(body, limits.body_bytes, read_timeout).await.map_err(|error| {
+    let body = http::read_body(body, limits.body_bytes, read_timeout).await.map_err(|error| {
         let code = match error {
             ReadError::TooLong => Code::BodyTooLong,
             ReadError::Incomplete => Code::BodyIncomplete,
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -143,7 +143,11 @@
     }
 
     /// Sends a call and reads the whole response within the timeout.
-    pub async fn whole(&self, call: Call, timeout: Duration) -> Result<Response<Bytes>, Error> {
+    pub async fn send_buffered(
+        &self,
+        call: Call,
+        timeout: Duration,
+    ) -> Result<Response<Bytes>, Error> {
         let to = call.to;
         let started = tokio::time::Instant::now();
         let (head, body) = self.send(call, timeout).await?.into_parts();
@@ -162,7 +166,7 @@
         timeout: Duration,
     ) -> Result<T, Error> {
         let to = call.to;
-        decode(to, self.whole(call, timeout).await?)
+        decode(to, self.send_buffered(call, timeout).await?)
     }
 
     /// Like `fetch`, for a response of any size: the timeout applies to the head and to each frame of the body.
@@ -201,7 +205,7 @@
 }
 
 /// Reads a whole body within a size limit and a timeout.
-pub async fn read<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, ReadError>
+pub async fn read_body<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, ReadError>
 where
     B: Body,
     B::Error: Into<BodyError>,
