--- a/crates/transport/src/engine.rs
+++ b/crates/transport/src/engine.rs
@@ -123,7 +123,7 @@
         let confirmed =
             |status: hyper::StatusCode| status.is_success() || status == GONE_STATUSES[0];
         self.client
-            .whole(call, SHORT_CALL_TIMEOUT)
+            .send_buffered(call, SHORT_CALL_TIMEOUT)
             .await
             .is_ok_and(|response| confirmed(response.status()))
     }
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::claims::Writer;
 use crate::clock::{self, Clock};
-use crate::http::{Client, Reply};
+use crate::http::{Client, ResponseBody};
 use crate::keeper::Keeper;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -345,13 +345,13 @@
     let limits = serve::Limits {
         header_bytes: shared.settings.limits.header_bytes,
         connections: shared.settings.limits.connections,
-        header: Duration::from_millis(shared.settings.limits.read_millis),
+        header_timeout: Duration::from_millis(shared.settings.limits.read_millis),
     };
-    let caller_handler = handler(shared.clone(), entry::caller);
+    let caller_handler = handler(shared.clone(), entry::handle_caller);
     let callers = tokio::spawn(serve::serve(callers, limits, stopped.clone(), caller_handler));
     let forward_limits =
         serve::Limits { header_bytes: limits.header_bytes * 2, ..Default::default() };
-    let forward_handler = handler(shared.clone(), entry::forwarded);
+    let forward_handler = handler(shared.clone(), entry::handle_forwarded);
     let forward =
         tokio::spawn(serve::serve(forward, forward_limits, stopped.clone(), forward_handler));
     let operator_handler = handler(shared.clone(), operator::handle);
@@ -478,7 +478,7 @@
     handle: fn(Arc<Shared>, Request<Incoming>) -> F,
 ) -> impl Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static
 where
-    F: Future<Output = Response<Reply>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     move |request| handle(shared.clone(), request)
 }
--- a/crates/transport/src/serve.rs
+++ b/crates/transport/src/serve.rs
@@ -1,6 +1,6 @@
-//! HTTP servers by hyper, with limits on heads, connections and waiting.
+//! HTTP/1 server with hyper, with limits on the size and arrival time of request heads and on connections.
 
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
@@ -14,21 +14,21 @@
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Connections at once; more wait in the system's queue.
+    /// Maximum number of open connections; further ones wait in the listener's backlog.
     pub connections: usize,
-    /// Time for a head to arrive, also on an idle connection.
-    pub header: Duration,
+    /// Timeout for the arrival of a request's head, which also closes idle connections.
+    pub header_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { header_bytes: 16_384, connections: 10_000, header: Duration::from_secs(60) }
+        Self { header_bytes: 16_384, connections: 10_000, header_timeout: Duration::from_secs(60) }
     }
 }
 
-/// Serves until `stop` turns true, and until open connections have ended their requests.
+/// Accepts connections until `stop` becomes true, then waits until the requests in flight have ended.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
@@ -36,16 +36,16 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Response<Reply>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+    let connection_permits = Arc::new(Semaphore::new(limits.connections));
     loop {
-        let Ok(permit) = permits.clone().acquire_owned().await else {
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stop.wait_for(|it| *it) => break,
+            _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, _)) = accepted else {
             continue;
@@ -55,18 +55,18 @@
         let mut stop = stop.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = handler(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(limits.header)
+                .header_read_timeout(limits.header_timeout)
                 .max_buf_size(limits.header_bytes)
                 .serve_connection(TokioIo::new(stream), service);
             let mut connection = std::pin::pin!(connection);
             let finished = tokio::select! {
                 _ = connection.as_mut() => true,
-                _ = stop.wait_for(|it| *it) => false,
+                _ = stop.wait_for(|stopped| *stopped) => false,
             };
             if !finished {
                 connection.as_mut().graceful_shutdown();
@@ -75,6 +75,6 @@
             drop(permit);
         });
     }
-    let all = u32::try_from(limits.connections).unwrap_or(u32::MAX);
-    let _ = permits.acquire_many(all).await;
+    let all_permits = u32::try_from(limits.connections).unwrap_or(u32::MAX);
+    let _ = connection_permits.acquire_many(all_permits).await;
 }
