--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -151,9 +151,9 @@
     retry_number: u16,
 ) -> Result<u64, Refusal> {
     let failure = retry::Failure {
-        may_have_run: ran: may_have_run,
+        may_have_run,
         repeatable: job.decision.repeatable,
-        retry_number: round: retry_number,
+        retry_number,
         left_ms: job.deadline.since(shared.clock.now()),
         needed_ms: 0,
     };
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -391,7 +391,7 @@
         let failed_attempt = retry::Failure {
             may_have_run: self.ran,
             repeatable: self.job.verdict.repeatable,
-            retry_number: round: retry_number,
+            retry_number,
             left_ms: self.remaining_ms(),
             needed_ms: self.prefill_ms(tokens),
         };
