--- a/crates/coordination/src/keyed.rs
+++ b/crates/coordination/src/keyed.rs
@@ -2,8 +2,8 @@
 //!
 //! A node may run a request only after every earlier owner of the key has released the key to it.
 //! [`Flow`] is a state machine without I/O: it returns the next step, and the caller executes the
-//! step and reports its result. A minted key was assigned by a node to a request that came without a
-//! key, and is not recorded: a request that brings one back may have run.
+//! step and reports its result. A generated key was assigned by a node to a request that came
+//! without a key, and is not recorded: a request that brings one back may have run.
 
 use crate::claims::Doubt;
 use crate::ledger::Begin;
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -170,14 +170,14 @@
 
     /// Takes the changes since the last call.
     pub fn take_outbox(&mut self) -> Outbox {
-        let mut news = Outbox::default();
+        let mut outbox = Outbox::default();
         for (endpoint, to_all) in std::mem::take(&mut self.unsent) {
             if let Some(entry) = self.entries.get(&endpoint) {
-                let updates = if to_all { &mut news.all } else { &mut news.owners };
+                let updates = if to_all { &mut outbox.all } else { &mut outbox.owners };
                 updates.push((endpoint, entry.update));
             }
         }
-        news
+        outbox
     }
 
     /// Number of endpoints that name a limit.
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -56,7 +56,7 @@
         Self { mode, random: SmallRng::seed_from_u64(seed), next_index: 0 }
     }
 
-    /// A runner of the pool that is eligible and not shunned, if there is one.
+    /// A runner of the pool that is eligible and not avoided, if there is one.
     pub fn choose(&mut self, query: Query<'_>, eligible: impl Fn(&Runner) -> bool) -> Option<Id> {
         let usable = |runner: &Runner| {
             eligible(runner) && query.loads.estimate(runner.id).avoid_until <= query.now
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -102,13 +102,13 @@
 fn begins_and_ends_go_to_all_nodes_and_rates_to_owners() {
     let mut limits = Limits::default();
     limits.observe(ENDPOINT, rate(3.0), Millis(1), Millis(2));
-    let news = limits.take_outbox();
-    assert_eq!((news.all.len(), news.owners.len()), (1, 0));
+    let outbox = limits.take_outbox();
+    assert_eq!((outbox.all.len(), outbox.owners.len()), (1, 0));
     limits.observe(ENDPOINT, rate(2.0), Millis(3), Millis(4));
-    let news = limits.take_outbox();
-    assert_eq!((news.all.len(), news.owners.len()), (0, 1));
-    let news = limits.take_outbox();
-    assert_eq!((news.all.len(), news.owners.len()), (0, 0));
+    let outbox = limits.take_outbox();
+    assert_eq!((outbox.all.len(), outbox.owners.len()), (0, 1));
+    let outbox = limits.take_outbox();
+    assert_eq!((outbox.all.len(), outbox.owners.len()), (0, 0));
 }
 
 #[rstest]
