--- a/crates/crosslane/src/bin/crosslaned.rs
+++ b/crates/crosslane/src/bin/crosslaned.rs
@@ -77,7 +77,7 @@
             "callers": addresses.callers,
             "operator": addresses.operator,
             "control": addresses.control,
-            "incarnation": handle.shared.me.to_string(),
+            "incarnation": handle.shared.incarnation.to_string(),
         })
     );
     let mut terminate = signal(SignalKind::terminate())?;
--- a/crates/transport/src/tape.rs
+++ b/crates/transport/src/buffer.rs
@@ -43,7 +43,7 @@
 
 /// Buffered output that grows until it ends.
 #[derive(Debug)]
-pub struct Tape {
+pub struct Buffer {
     inner: Mutex<Inner>,
     changed: watch::Sender<()>,
     readers: AtomicUsize,
@@ -51,7 +51,7 @@
     keep_running: bool,
 }
 
-impl Default for Tape {
+impl Default for Buffer {
     fn default() -> Self {
         Self {
             inner: Mutex::default(),
@@ -63,21 +63,21 @@
     }
 }
 
-impl Tape {
-    /// Creates the tape of a run that continues to its end even if all readers leave.
-    pub fn seen_through() -> Self {
+impl Buffer {
+    /// Creates the buffer of a run that continues to its end even if all readers leave.
+    pub fn run_to_end() -> Self {
         Self { keep_running: true, ..Self::default() }
     }
 
-    /// Creates a complete tape from a recorded answer.
+    /// Creates a complete buffer from a recorded answer.
     pub fn replay(answer: &Answer) -> Self {
-        let tape = Self::default();
-        tape.head(Head { status: answer.status, content_type: answer.content_type.clone() });
+        let buffer = Self::default();
+        buffer.head(Head { status: answer.status, content_type: answer.content_type.clone() });
         for piece in &answer.chunks {
-            tape.push(Bytes::from(piece.clone()));
+            buffer.push(Bytes::from(piece.clone()));
         }
-        tape.end(End::Done);
-        tape
+        buffer.end(End::Done);
+        buffer
     }
 
     /// Sets status and content type.
@@ -109,7 +109,7 @@
     }
 
     /// Resolves once all readers have left, unless the run continues without readers.
-    pub async fn deserted(&self) {
+    pub async fn is_abandoned(&self) {
         let mut abandoned = self.abandoned.subscribe();
         if abandoned.wait_for(|abandoned| *abandoned).await.is_err() {
             std::future::pending::<()>().await;
@@ -123,7 +123,7 @@
             return None;
         }
         self.readers.fetch_add(1, Ordering::Relaxed);
-        Some(Reader { tape: self.clone(), position: 0, changed: self.changed.subscribe() })
+        Some(Reader { buffer: self.clone(), position: 0, changed: self.changed.subscribe() })
     }
 
     /// Removes a reader.
@@ -142,7 +142,7 @@
 /// Read position of one caller.
 #[derive(Debug)]
 pub struct Reader {
-    tape: Arc<Tape>,
+    buffer: Arc<Buffer>,
     position: usize,
     changed: watch::Receiver<()>,
 }
@@ -163,11 +163,11 @@
 
     /// Status and content type, if already set.
     pub fn head(&self) -> Option<Head> {
-        self.tape.lock().head.clone()
+        self.buffer.lock().head.clone()
     }
 
     /// Reads all pieces up to the end.
-    pub async fn whole(&mut self) -> (Vec<Bytes>, End) {
+    pub async fn read_to_end(&mut self) -> (Vec<Bytes>, End) {
         let mut pieces = Vec::new();
         loop {
             match self.next().await {
@@ -179,7 +179,7 @@
 
     /// Next item, if available.
     fn step(&mut self) -> Option<Step> {
-        let inner = self.tape.lock();
+        let inner = self.buffer.lock();
         if let Some(piece) = inner.pieces.get(self.position) {
             self.position += 1;
             return Some(Step::Piece(piece.clone()));
@@ -190,6 +190,6 @@
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.tape.leave();
+        self.buffer.leave();
     }
 }
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -1,12 +1,12 @@
 //! One request to a service, with its retries.
 
+use crate::buffer::{Buffer, Head};
 use crate::claims::Claimed;
 use crate::http::{self, Call};
 use crate::metrics::Counter;
 use crate::node::Shared;
 use crate::reserve;
-use crate::run::{NOT_READY_MILLIS, denied};
-use crate::tape::{Head, Tape};
+use crate::run::{NOT_READY_MILLIS, denial_counter};
 use bytes::Bytes;
 use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::retry;
@@ -55,24 +55,24 @@
     }
 }
 
-/// Runs a request and writes the response to the tape.
+/// Runs a request and writes the response to the buffer.
 ///
 /// A request that must not be repeated runs to its end even if every caller disconnects, so that
 /// its response can be replayed when the caller retries.
-pub async fn run(shared: Arc<Shared>, job: Job, tape: Arc<Tape>) -> Result<(), Refusal> {
+pub async fn run(shared: Arc<Shared>, job: Job, buffer: Arc<Buffer>) -> Result<(), Refusal> {
     if !job.decision.repeatable {
-        return run_attempts(&shared, &job, &tape).await;
+        return run_attempts(&shared, &job, &buffer).await;
     }
     tokio::select! {
-        result = run_attempts(&shared, &job, &tape) => result,
-        () = tape.deserted() => {
+        result = run_attempts(&shared, &job, &buffer) => result,
+        () = buffer.is_abandoned() => {
             shared.metrics.count(Counter::CallerLeft);
             Err(Refusal::unknown(Code::CallerLeft, "the caller left"))
         }
     }
 }
 
-async fn run_attempts(shared: &Arc<Shared>, job: &Job, tape: &Tape) -> Result<(), Refusal> {
+async fn run_attempts(shared: &Arc<Shared>, job: &Job, buffer: &Buffer) -> Result<(), Refusal> {
     if let Some(key_hash) = job.claim_key_hash {
         match shared.claims.claim(key_hash).await {
             Claimed::Mine => {}
@@ -87,22 +87,23 @@
             }
         }
     }
-    let mut attempt = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
+    let mut attempt =
+        attempt::Id { origin: shared.incarnation, sequence: job.sequence, retry_number: 0 };
     let mut may_have_run = false;
     loop {
         let runner = reserve::place(shared, job.requirements()).await;
         let runner = runner.ok_or_else(|| service_refusal(may_have_run, "no usable runner"))?;
-        if !shared.fresh().await {
+        if !shared.wait_until_caught_up().await {
             return Err(service_refusal(may_have_run, "this node was replaced"));
         }
-        shared.flights.begin(attempt);
-        shared.flights.touch(attempt, &runner.vm);
+        shared.in_flight.begin(attempt);
+        shared.in_flight.add_vm(attempt, &runner.vm);
         let result = send_attempt(shared, job, &runner).await;
-        shared.flights.end(attempt);
+        shared.in_flight.end(attempt);
         let id = runner.id;
-        shared.keeper.visit(move |node, _| node.loads.undo_sent(id)).await;
+        shared.keeper.with_node(move |node, _| node.loads.undo_sent(id)).await;
         let error = match result {
-            Ok(response) => return write_response(shared, response, tape),
+            Ok(response) => return write_response(shared, response, buffer),
             Err(error) => error,
         };
         may_have_run |= !matches!(error, http::Error::Connect { .. });
@@ -129,17 +130,21 @@
     shared.client.send_buffered(call, Duration::from_millis(remaining_ms)).await
 }
 
-fn write_response(shared: &Shared, response: Response<Bytes>, tape: &Tape) -> Result<(), Refusal> {
+fn write_response(
+    shared: &Shared,
+    response: Response<Bytes>,
+    buffer: &Buffer,
+) -> Result<(), Refusal> {
     let (head, body) = response.into_parts();
     if body.len() > shared.settings.limits.answer_bytes {
         return Err(Refusal::unknown(Code::AnswerTooLong, "the service's answer is too long"));
     }
     let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    tape.head(Head {
+    buffer.head(Head {
         status: head.status.as_u16(),
         content_type: content_type.unwrap_or("application/octet-stream").to_owned(),
     });
-    tape.push(body);
+    buffer.push(body);
     Ok(())
 }
 
@@ -161,7 +166,7 @@
         node.mark_failed(runner, now);
         node.budget.retry(failure)
     };
-    match shared.keeper.visit(decide).await {
+    match shared.keeper.with_node(decide).await {
         Ok(delay_ms) => {
             shared.metrics.count(match error {
                 http::Error::Connect { .. } => Counter::RetryUnreachable,
@@ -171,7 +176,7 @@
             Ok(delay_ms)
         }
         Err(denial) => {
-            shared.metrics.count(denied(denial));
+            shared.metrics.count(denial_counter(denial));
             let mut refusal = service_refusal(may_have_run, "the service failed");
             refusal.code = Code::RunnerFailed;
             Err(refusal)
--- a/crates/transport/src/claims.rs
+++ b/crates/transport/src/claims.rs
@@ -94,14 +94,14 @@
             let is_member = node.state.roster.get(by).is_some();
             is_member && checked.iter().all(|key| !node.claims.claimed_by_other(*key, by))
         };
-        if !shared.keeper.visit(is_valid).await {
+        if !shared.keeper.with_node(is_valid).await {
             return false;
         }
         self.lock().entry(by).or_default().extend(keys.iter().copied());
         let apply = move |node: &mut Node, now| {
             keys.iter().for_each(|key| node.claims.claim(*key, by, now));
         };
-        shared.keeper.visit(apply).await;
+        shared.keeper.with_node(apply).await;
         true
     }
 
@@ -168,7 +168,7 @@
 /// Records a batch of claims in the log or with a peer, and replies to each claimant.
 async fn record_batch(shared: &Arc<Shared>, batch: Vec<(u64, oneshot::Sender<Claimed>)>) {
     let keys: Vec<u64> = batch.iter().map(|(key, _)| *key).collect();
-    let own = shared.me;
+    let own = shared.incarnation;
     let logged = append(shared, &keys).await;
     let replicated = !logged && replicate(shared, &keys).await;
     if replicated {
@@ -181,7 +181,7 @@
         let claimed_by_other = |key: &u64| node.claims.claimed_by_other(*key, own);
         keys.iter().map(claimed_by_other).collect::<Vec<_>>()
     };
-    let lost = shared.keeper.visit(resolve).await;
+    let lost = shared.keeper.with_node(resolve).await;
     for ((_, reply), elsewhere) in batch.into_iter().zip(lost) {
         let claimed = match (elsewhere, logged || replicated) {
             (true, _) => Claimed::Elsewhere,
@@ -197,7 +197,7 @@
     if !shared.log_answers() {
         return false;
     }
-    let record = Claims { by: shared.me, keys: keys.to_vec() };
+    let record = Claims { by: shared.incarnation, keys: keys.to_vec() };
     shared.metrics.count(Counter::ClaimAppends);
     let Ok(offset) = shared.platform.append(CLAIMS_STREAM, vec![envelope::encode(&record)]).await
     else {
@@ -223,8 +223,8 @@
         peers.sort_by_key(|peer| peer.domain == domain);
         peers
     };
-    let own = shared.me;
-    for peer in shared.keeper.visit(candidates).await {
+    let own = shared.incarnation;
+    for peer in shared.keeper.with_node(candidates).await {
         let keys = keys.to_vec();
         let count = keys.len() as u64;
         let call = |client: PeerClient, context| async move {
--- a/crates/transport/src/sweep.rs
+++ b/crates/transport/src/cleanup.rs
@@ -64,7 +64,7 @@
 
 /// Releases a slot at the node that granted it.
 pub async fn release(shared: &Shared, owner: Incarnation, runner: Id, attempt: attempt::Id) {
-    if owner == shared.me {
+    if owner == shared.incarnation {
         shared.keeper.release(runner, attempt);
         return;
     }
@@ -82,7 +82,7 @@
     loop {
         tokio::time::sleep(period).await;
         let list = |node: &mut Node, now| (node.owned().cloned().collect(), node.taken_over(now));
-        let (owned, taken_over): (Vec<Runner>, Vec<Runner>) = shared.keeper.visit(list).await;
+        let (owned, taken_over): (Vec<Runner>, Vec<Runner>) = shared.keeper.with_node(list).await;
         let owned = owned.into_iter().map(|runner| reconcile(shared.clone(), runner));
         let taken_over = taken_over.into_iter().map(|runner| free_orphans(shared.clone(), runner));
         tokio::join!(join_all(owned), join_all(taken_over));
@@ -101,7 +101,7 @@
     let Some(held) = held_attempts(&shared, &runner).await else {
         return;
     };
-    let orphans = shared.keeper.visit(move |node, now| node.orphans(&held, now)).await;
+    let orphans = shared.keeper.with_node(move |node, now| node.orphans(&held, now)).await;
     orphans.into_iter().for_each(|attempt| reclaim(&shared, &runner, attempt, None));
 }
 
@@ -122,18 +122,20 @@
 async fn reconcile(shared: Arc<Shared>, runner: Runner) {
     let id = runner.id;
     let Some(held) = held_attempts(&shared, &runner).await else {
-        shared.keeper.visit(move |node, _| node.mark_unresponsive(id)).await;
+        shared.keeper.with_node(move |node, _| node.mark_unresponsive(id)).await;
         return;
     };
     let plan = move |node: &mut Node, now| node.reconcile(id, &held, now);
-    let Some(plan) = shared.keeper.visit(plan).await else {
+    let Some(plan) = shared.keeper.with_node(plan).await else {
         return;
     };
     let mut unused = plan.cancel;
     for (origin, attempts) in plan.confirm {
         unused.extend(unused_attempts(&shared, origin, attempts).await);
     }
-    unused.into_iter().for_each(|attempt| reclaim(&shared, &runner, attempt, Some(shared.me)));
+    unused
+        .into_iter()
+        .for_each(|attempt| reclaim(&shared, &runner, attempt, Some(shared.incarnation)));
 }
 
 /// Attempts that their origin reports as no longer in use.
@@ -142,8 +144,8 @@
     origin: Incarnation,
     attempts: Vec<attempt::Id>,
 ) -> Vec<attempt::Id> {
-    let in_use = if origin == shared.me {
-        Ok(shared.flights.still_in_use(&attempts))
+    let in_use = if origin == shared.incarnation {
+        Ok(shared.in_flight.still_in_use(&attempts))
     } else if let Some(member) = shared.member(origin).await {
         let queried = attempts.clone();
         let call = |client: PeerClient, context| async move {
@@ -154,7 +156,7 @@
         return Vec::new();
     };
     let Ok(in_use) = in_use else {
-        shared.keeper.visit(move |node, now| node.detector.watch(origin, now)).await;
+        shared.keeper.with_node(move |node, now| node.detector.watch(origin, now)).await;
         return Vec::new();
     };
     let pairs = attempts.into_iter().zip(in_use);
--- a/crates/transport/src/drain.rs
+++ b/crates/transport/src/drain.rs
@@ -39,12 +39,12 @@
     if shared.phase.send_if_modified(start_drain) {
         info!(event = "leaving"; "");
         let leave = Leave {
-            id: format!("self/{}", shared.me),
+            id: format!("self/{}", shared.incarnation),
             vm: shared.settings.vm.clone(),
-            node: Some(shared.me),
+            node: Some(shared.incarnation),
         };
         let keeper = shared.keeper.clone();
-        tokio::spawn(async move { keeper.visit(move |node, _| node.add_leave(leave)).await });
+        tokio::spawn(async move { keeper.with_node(move |node, _| node.add_leave(leave)).await });
     }
 }
 
@@ -53,7 +53,7 @@
     let vm = shared.settings.vm.clone();
     loop {
         let vm = vm.clone();
-        if shared.keeper.visit(move |node, _| node.is_leaving(&vm)).await {
+        if shared.keeper.with_node(move |node, _| node.is_leaving(&vm)).await {
             announce(&shared);
         }
         if let Phase::Leaving { since } = *shared.phase.borrow() {
@@ -72,7 +72,7 @@
 
 /// Whether no request and no attempt is in progress.
 fn idle(shared: &Shared) -> bool {
-    shared.in_progress() == 0 && shared.flights.is_empty()
+    shared.in_progress() == 0 && shared.in_flight.is_empty()
 }
 
 /// Hands each idempotency record over to the next owner of its key; true if every call succeeded.
@@ -89,7 +89,7 @@
         by_owner
     };
     let mut complete = true;
-    for (owner, records) in shared.keeper.visit(collect).await {
+    for (owner, records) in shared.keeper.with_node(collect).await {
         for chunk in records.chunks(HANDOVER_RECORDS) {
             let chunk = chunk.to_vec();
             let call =
@@ -109,7 +109,7 @@
         return;
     }
     for _ in 0..DEPART_ATTEMPTS {
-        let record = Record::Depart { incarnation: shared.me, released };
+        let record = Record::Depart { incarnation: shared.incarnation, released };
         if follower::append(shared, &record).await {
             return;
         }
--- a/crates/transport/src/entry.rs
+++ b/crates/transport/src/entry.rs
@@ -1,11 +1,11 @@
 //! Entry of requests from callers and of requests that other nodes forward: parsing, validation and policy evaluation.
 
+use crate::buffer::Buffer;
 use crate::headers::{DEADLINE, HOPS, IDEMPOTENCY_KEY, NODE, ORGANISATION, RELEASED_BY};
 use crate::http::{self, ReadError, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Phase, Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
-use crate::tape::Tape;
 use crate::{job, keyed, render};
 use bytes::Bytes;
 use crosslane_coordination::program::Input;
@@ -262,12 +262,12 @@
     progress: Progress,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let Some(key_header) = request.head.headers.get(IDEMPOTENCY_KEY) else {
-        shared.keeper.visit(|node, _| node.budget.deposit()).await;
+        shared.keeper.with_node(|node, _| node.budget.deposit()).await;
         let sequence = shared.sequence();
-        let key = Key::generate(shared.me, sequence);
-        let tape = Arc::new(Tape::default());
-        let reader = tape.reader();
-        job::spawn(shared, &request, job::Id { key: key.clone(), keyed: false }, sequence, tape);
+        let key = Key::generate(shared.incarnation, sequence);
+        let buffer = Arc::new(Buffer::default());
+        let reader = buffer.reader();
+        job::spawn(shared, &request, job::Id { key: key.clone(), keyed: false }, sequence, buffer);
         return render::render(shared, &request, &key, reader, progress).await;
     };
     let key = key_header.to_str().map_err(|_| bad_header("idempotency-key: expected ASCII"))?;
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -66,7 +66,7 @@
 
 /// Reads one page of the control stream; true if it reached the tail.
 async fn read_control(shared: &Arc<Shared>, wait: Duration) -> Result<bool, ()> {
-    let from = shared.keeper.visit(|node, _| node.state.next_offset).await;
+    let from = shared.keeper.with_node(|node, _| node.state.next_offset).await;
     match shared.platform.read(CONTROL_STREAM, from, wait).await {
         Ok(Read::Page(page)) => apply_page(shared, page).await,
         Ok(Read::Trimmed { first }) => {
@@ -91,7 +91,7 @@
         from += page.records.len() as u64;
         let at_tail = from >= page.tail;
         apply_page(shared, page).await?;
-        let next = shared.keeper.visit(|node, _| node.state.next_offset).await;
+        let next = shared.keeper.with_node(|node, _| node.state.next_offset).await;
         if next >= first {
             return Ok(false);
         }
@@ -131,17 +131,17 @@
         }
         node.refresh(now);
     };
-    shared.keeper.visit(apply).await;
+    shared.keeper.with_node(apply).await;
     apply_folded_state(shared).await;
     Ok(next >= page.tail)
 }
 
 /// Updates the policy in force and the node's own membership from the folded log.
 pub async fn apply_folded_state(shared: &Arc<Shared>) {
-    let incarnation = shared.me;
+    let incarnation = shared.incarnation;
     let (version, program, member) = shared
         .keeper
-        .visit(move |node, _| {
+        .with_node(move |node, _| {
             let program = node.state.program().map(str::to_owned);
             (node.state.version(), program, node.state.roster.get(incarnation).is_some())
         })
@@ -169,7 +169,7 @@
     }
     info!(event = "log_up"; "");
     shared.claims.flush_replicas(shared).await;
-    let unlogged = shared.keeper.visit(|node, _| node.unlogged_leaves()).await;
+    let unlogged = shared.keeper.with_node(|node, _| node.unlogged_leaves()).await;
     for leave in unlogged {
         append(shared, &Record::Leave { leave }).await;
     }
@@ -209,7 +209,7 @@
                     claim.keys.iter().for_each(|key| node.claims.claim(*key, claim.by, now));
                 }
             };
-            shared.keeper.visit(apply).await;
+            shared.keeper.with_node(apply).await;
             shared.claims.set_next_offset(next);
             Ok(next >= page.tail)
         }
--- a/crates/transport/src/pulse.rs
+++ b/crates/transport/src/heartbeat.rs
@@ -41,7 +41,7 @@
         }
         shared.tick();
         shared.keeper.tick();
-        let neighbours = shared.keeper.visit(|node, _| neighbours(node)).await;
+        let neighbours = shared.keeper.with_node(|node, _| neighbours(node)).await;
         for neighbour in neighbours {
             tokio::spawn(exchange_heartbeats(shared.clone(), neighbour));
         }
@@ -57,7 +57,7 @@
 async fn recover_from_pause(shared: &Arc<Shared>) {
     shared.metrics.count(Counter::Paused);
     warn!(event = "paused"; "process was paused; catching up before serving");
-    shared.keeper.visit(|node, now| node.detector.reset(now)).await;
+    shared.keeper.with_node(|node, now| node.detector.reset(now)).await;
     if !follower::catch_up(shared).await {
         fetch_snapshot(shared).await;
     }
@@ -67,7 +67,7 @@
 /// answered.
 pub async fn fetch_snapshot(shared: &Arc<Shared>) -> bool {
     let limit = Duration::from_millis(shared.settings.timing.platform_millis);
-    let members = shared.keeper.visit(|node, _| neighbours(node)).await;
+    let members = shared.keeper.with_node(|node, _| neighbours(node)).await;
     let known_addresses = members.iter().map(|member| member.control);
     let mut found = false;
     for address in known_addresses.chain(shared.settings.seeds.iter().copied()) {
@@ -88,7 +88,7 @@
                 node.refresh(now);
             }
         };
-        shared.keeper.visit(adopt).await;
+        shared.keeper.with_node(adopt).await;
         follower::apply_folded_state(shared).await;
     }
     found
@@ -96,7 +96,7 @@
 
 /// Announces this node to its neighbours before it accepts requests.
 pub async fn announce(shared: &Arc<Shared>) {
-    let neighbours = shared.keeper.visit(|node, _| neighbours(node)).await;
+    let neighbours = shared.keeper.with_node(|node, _| neighbours(node)).await;
     let exchanges =
         neighbours.into_iter().map(|neighbour| exchange_heartbeats(shared.clone(), neighbour));
     futures::future::join_all(exchanges).await;
@@ -108,12 +108,12 @@
 
 /// Builds this node's heartbeat.
 pub async fn build_heartbeat(shared: &Arc<Shared>) -> Heartbeat {
-    let (sender, version) = (shared.me, shared.policy().version);
+    let (sender, version) = (shared.incarnation, shared.policy().version);
     let young = shared.clock.now().0 < ANNOUNCE_SELF_MS;
     let new_member = (young || !shared.is_member()).then(|| shared.member.clone());
     shared
         .keeper
-        .visit(move |node, now| {
+        .with_node(move |node, now| {
             let loads = node.load_reports(now);
             for (id, report) in &loads {
                 node.loads.record_report(*id, *report, now);
@@ -142,7 +142,7 @@
         }
         heartbeat.leaves.into_iter().filter(|leave| node.add_leave(leave.clone())).count()
     };
-    let new_leaves = shared.keeper.visit(apply).await;
+    let new_leaves = shared.keeper.with_node(apply).await;
     if new_leaves > 0 {
         info!(event = "leave_heard", count = new_leaves; "");
     }
@@ -173,8 +173,8 @@
 
 /// Has other nodes probe each suspect, and declares it dead if none reaches it.
 async fn probe_suspects(shared: Arc<Shared>) {
-    let incarnation = shared.me;
-    let suspects = shared.keeper.visit(|node, now| node.detector.suspects(now)).await;
+    let incarnation = shared.incarnation;
+    let suspects = shared.keeper.with_node(|node, now| node.detector.suspects(now)).await;
     for suspect in suspects {
         let witnesses = move |node: &mut Node, now| {
             let mut witnesses = neighbours(node);
@@ -185,7 +185,7 @@
             witnesses.truncate(WITNESSES);
             witnesses
         };
-        let witnesses = shared.keeper.visit(witnesses).await;
+        let witnesses = shared.keeper.with_node(witnesses).await;
         let probes = witnesses.iter().map(|witness| {
             let call = move |client: PeerClient, context| async move {
                 client.probe(context, suspect).await
@@ -193,12 +193,12 @@
             shared.peers.call(witness.control, PROBE_TIMEOUT, call)
         });
         if futures::future::join_all(probes).await.contains(&Ok(true)) {
-            shared.keeper.visit(move |node, now| node.confirm_alive(suspect, now)).await;
+            shared.keeper.with_node(move |node, now| node.confirm_alive(suspect, now)).await;
             continue;
         }
         shared.metrics.count(Counter::NodesDead);
         warn!(event = "node_dead", node:% = suspect, by:% = incarnation; "");
-        shared.keeper.visit(move |node, now| node.confirm_dead(suspect, now)).await;
+        shared.keeper.with_node(move |node, now| node.confirm_dead(suspect, now)).await;
     }
 }
 
@@ -240,7 +240,7 @@
         }
         gone
     };
-    for incarnation in shared.keeper.visit(apply).await {
+    for incarnation in shared.keeper.with_node(apply).await {
         info!(event = "member_gone", node:% = incarnation; "");
         follower::append(shared, &Record::Depart { incarnation, released: false }).await;
     }
@@ -249,7 +249,7 @@
 /// Confirms the policy version in force for this node's failure domain, if it is due.
 async fn confirm_policy(shared: &Arc<Shared>) {
     let in_force = shared.policy().version;
-    if let Some(version) = shared.keeper.visit(|node, _| node.version_to_confirm()).await
+    if let Some(version) = shared.keeper.with_node(|node, _| node.version_to_confirm()).await
         && version == in_force
     {
         let domain = shared.settings.domain.clone();
@@ -265,21 +265,21 @@
         let due = node.state.next_offset - node.state.checkpoint_offset >= records;
         (due && first == Some(node.options().incarnation)).then(|| Box::new(node.state.clone()))
     };
-    if let Some(state) = shared.keeper.visit(due).await {
+    if let Some(state) = shared.keeper.with_node(due).await {
         follower::append(shared, &Record::Checkpoint { state }).await;
     }
 }
 
 /// Collects the claims that departed nodes replicated to their neighbours.
 async fn collect_claims(shared: &Arc<Shared>) {
-    for departed in shared.keeper.visit(|node, _| node.claims.uncollected()).await {
+    for departed in shared.keeper.with_node(|node, _| node.claims.uncollected()).await {
         let holders = move |node: &mut Node, _| {
             let holders = node.state.roster.neighbours(departed, node.options().neighbours);
             holders.into_iter().cloned().collect::<Vec<_>>()
         };
         let mut complete = follower::catch_up_claims(shared).await;
-        for holder in shared.keeper.visit(holders).await {
-            if holder.incarnation == shared.me {
+        for holder in shared.keeper.with_node(holders).await {
+            if holder.incarnation == shared.incarnation {
                 continue;
             }
             let call = move |client: PeerClient, context| async move {
@@ -290,13 +290,13 @@
                     let apply = move |node: &mut Node, now| {
                         keys.iter().for_each(|key| node.claims.claim(*key, departed, now));
                     };
-                    shared.keeper.visit(apply).await;
+                    shared.keeper.with_node(apply).await;
                 }
                 Err(_) => complete = false,
             }
         }
         if complete {
-            shared.keeper.visit(move |node, _| node.claims.mark_collected(departed)).await;
+            shared.keeper.with_node(move |node, _| node.claims.mark_collected(departed)).await;
             info!(event = "settled", node:% = departed, stream = CLAIMS_STREAM; "");
         }
     }
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -1,8 +1,8 @@
 //! Runs requests in tasks of their own, independent of the callers' connections, and records their results.
 
+use crate::buffer::{Buffer, End};
 use crate::entry::{ParsedRequest, Target};
 use crate::node::Shared;
-use crate::tape::{End, Tape};
 use crate::{call, forward, run};
 use crosslane_coordination::ledger;
 use crosslane_coordination::node::Node;
@@ -38,7 +38,7 @@
     request: &ParsedRequest,
     id: Id,
     sequence: u64,
-    tape: Arc<Tape>,
+    buffer: Arc<Buffer>,
 ) {
     let shared = shared.clone();
     let claim_key_hash = (id.keyed && !request.decision.repeatable).then(|| id.key.hash());
@@ -58,8 +58,8 @@
                 sequence,
             };
             tokio::spawn(async move {
-                let result = run::run(shared.clone(), job, tape.clone()).await;
-                finish(&shared, id, fingerprint, &tape, result).await;
+                let result = run::run(shared.clone(), job, buffer.clone()).await;
+                finish(&shared, id, fingerprint, &buffer, result).await;
             });
         }
         Target::Service(prefix) => {
@@ -76,28 +76,28 @@
                 sequence,
             };
             tokio::spawn(async move {
-                let result = call::run(shared.clone(), job, tape.clone()).await;
-                finish(&shared, id, fingerprint, &tape, result).await;
+                let result = call::run(shared.clone(), job, buffer.clone()).await;
+                finish(&shared, id, fingerprint, &buffer, result).await;
             });
         }
     }
 }
 
-/// Finishes a request: logs its result, records it if the caller sent a key, then ends the tape for its readers.
+/// Finishes a request: logs its result, records it if the caller sent a key, then ends the buffer for its readers.
 async fn finish(
     shared: &Arc<Shared>,
     id: Id,
     fingerprint: u64,
-    tape: &Tape,
+    buffer: &Buffer,
     result: Result<(), Refusal>,
 ) {
     let code = result.as_ref().err().map_or("none", |refusal| refusal.code.name());
     let outcome = result.as_ref().err().map_or(Outcome::Done, |refusal| refusal.outcome);
     info!(event = "request", request = id.key.as_str(), outcome:% = outcome, refused = code; "");
     if id.keyed {
-        record_result(shared, id.key, fingerprint, tape, &result).await;
+        record_result(shared, id.key, fingerprint, buffer, &result).await;
     }
-    tape.end(match result {
+    buffer.end(match result {
         Ok(()) => End::Done,
         Err(refusal) => End::Refused(refusal),
     });
@@ -108,10 +108,10 @@
     shared: &Arc<Shared>,
     key: Key,
     fingerprint: u64,
-    tape: &Tape,
+    buffer: &Buffer,
     result: &Result<(), Refusal>,
 ) {
-    let answer = tape.answer().filter(|_| result.is_ok());
+    let answer = buffer.answer().filter(|_| result.is_ok());
     if let Some(answer) = &answer {
         copy_to_successor(shared, &key, fingerprint, answer.clone()).await;
     }
@@ -123,14 +123,15 @@
     let shared_clone = shared.clone();
     let update = move |node: &mut Node, now| {
         node.ledger.finish(&key, end, now);
-        shared_clone.tapes().remove(&key);
+        shared_clone.buffers().remove(&key);
     };
-    shared.keeper.visit(update).await;
+    shared.keeper.with_node(update).await;
 }
 
 async fn copy_to_successor(shared: &Arc<Shared>, key: &Key, fingerprint: u64, answer: Answer) {
     let owned_key = key.clone();
-    let successor = shared.keeper.visit(move |node, _| node.successor(&owned_key).cloned()).await;
+    let successor =
+        shared.keeper.with_node(move |node, _| node.successor(&owned_key).cloned()).await;
     let Some(successor) = successor else {
         return;
     };
--- a/crates/transport/src/keeper.rs
+++ b/crates/transport/src/keeper.rs
@@ -55,7 +55,7 @@
     }
 
     /// Runs a closure on the state and returns its result; waits forever if the actor has ended.
-    pub async fn visit<T: Send + 'static>(
+    pub async fn with_node<T: Send + 'static>(
         &self,
         access: impl FnOnce(&mut Node, Millis) -> T + Send + 'static,
     ) -> T {
--- a/crates/transport/src/keyed.rs
+++ b/crates/transport/src/keyed.rs
@@ -1,12 +1,12 @@
 //! Requests with an idempotency key: executes the steps that `crosslane_coordination::keyed` decides.
 
+use crate::buffer::Buffer;
 use crate::entry::{ParsedRequest, Target};
 use crate::headers::OWNER;
 use crate::http::{self, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
-use crate::tape::Tape;
 use crate::{forward, job, render};
 use crosslane_coordination::keyed::{self, Flow, ReleaseReply, Step};
 use crosslane_coordination::node::Node;
@@ -55,7 +55,7 @@
             Step::Redirect(owner) => return Ok(redirect_response(owner)),
             Step::Refuse(reason) => return Err(not_started_refusal(reason)),
             Step::Run | Step::Join | Step::Replay(_) => {
-                return respond_from_tape(shared, &request, flow.key(), &step, progress).await;
+                return respond_from_buffer(shared, &request, flow.key(), &step, progress).await;
             }
         };
         (flow, step) = advance(shared, flow, run_to_completion, next).await;
@@ -65,8 +65,8 @@
 /// A transition of a keyed request's flow to its next step.
 type Transition = Box<dyn FnOnce(&mut Flow, &mut Node, Millis) -> Step + Send>;
 
-/// Applies a transition in the keeper task. If the next step is to run the request, its tape is registered in the same
-/// visit, so that later requests under the key can join it.
+/// Applies a transition in the keeper task. If the next step is to run the request, its buffer is registered in the same
+/// call, so that later requests under the key can join it.
 async fn advance(
     shared: &Arc<Shared>,
     mut flow: Flow,
@@ -78,12 +78,12 @@
         let step = transition(&mut flow, node, now);
         if step == Step::Run {
             node.budget.deposit();
-            let tape = if run_to_completion { Tape::seen_through() } else { Tape::default() };
-            shared_clone.tapes().insert(flow.key().clone(), Arc::new(tape));
+            let buffer = if run_to_completion { Buffer::run_to_end() } else { Buffer::default() };
+            shared_clone.buffers().insert(flow.key().clone(), Arc::new(buffer));
         }
         (flow, step)
     };
-    shared.keeper.visit(decide).await
+    shared.keeper.with_node(decide).await
 }
 
 /// Asks a node that may have owned a key to release it.
@@ -95,7 +95,7 @@
     let Some(member) = shared.member(previous_owner).await else {
         return ReleaseReply::Released;
     };
-    let (key, requester) = (flow.key().clone(), shared.me);
+    let (key, requester) = (flow.key().clone(), shared.incarnation);
     let call = |client: PeerClient, context| async move {
         client.release_key(context, key, requester).await
     };
@@ -120,25 +120,25 @@
 
 /// Responds to a keyed request with the output of its run at this node, which is started if needed, or with the
 /// recorded answer.
-async fn respond_from_tape(
+async fn respond_from_buffer(
     shared: &Arc<Shared>,
     request: &ParsedRequest,
     key: &Key,
     step: &Step,
     progress: Progress,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let tape = match step {
+    let buffer = match step {
         Step::Replay(answer) => {
             shared.metrics.count(Counter::Replayed);
-            Some(Arc::new(Tape::replay(answer)))
+            Some(Arc::new(Buffer::replay(answer)))
         }
-        _ => shared.tapes().get(key).cloned(),
+        _ => shared.buffers().get(key).cloned(),
     };
-    let reader = tape.as_ref().and_then(Tape::reader);
-    match (step, tape) {
-        (Step::Run, Some(tape)) => {
+    let reader = buffer.as_ref().and_then(Buffer::reader);
+    match (step, buffer) {
+        (Step::Run, Some(buffer)) => {
             let id = job::Id { key: key.clone(), keyed: true };
-            job::spawn(shared, request, id, shared.sequence(), tape);
+            job::spawn(shared, request, id, shared.sequence(), buffer);
         }
         (Step::Join, _) => shared.metrics.count(Counter::Joined),
         _ => {}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,9 @@
 //! Network servers and clients, actor tasks and clocks of a crosslane node.
 
+pub mod buffer;
 pub mod call;
 pub mod claims;
+pub mod cleanup;
 pub mod clock;
 pub mod connection;
 pub mod drain;
@@ -10,6 +12,7 @@
 pub mod follower;
 pub mod forward;
 pub mod headers;
+pub mod heartbeat;
 pub mod http;
 pub mod job;
 pub mod keeper;
@@ -20,11 +23,8 @@
 pub mod operator;
 pub mod peers;
 pub mod platform;
-pub mod pulse;
 pub mod render;
 pub mod reserve;
 pub mod rpc;
 pub mod run;
 pub mod serve;
-pub mod sweep;
-pub mod tape;
--- a/crates/transport/src/node.rs
+++ b/crates/transport/src/node.rs
@@ -1,5 +1,6 @@
 //! A node: the state that its parts share, its startup and its shutdown.
 
+use crate::buffer::Buffer;
 use crate::claims::Writer;
 use crate::clock::{self, Clock};
 use crate::http::{Client, ResponseBody};
@@ -7,8 +8,7 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::platform::Platform;
-use crate::tape::Tape;
-use crate::{drain, entry, follower, operator, pulse, rpc, serve, sweep};
+use crate::{cleanup, drain, entry, follower, heartbeat, operator, rpc, serve};
 use crosslane_coordination::node::{Node, Options};
 use crosslane_coordination::program::{self, Program};
 use crosslane_coordination::record::Record;
@@ -113,7 +113,7 @@
     }
 
     /// Records that an attempt uses a VM.
-    pub fn touch(&self, attempt: attempt::Id, vm: &str) {
+    pub fn add_vm(&self, attempt: attempt::Id, vm: &str) {
         if let Some(vms) = self.lock().get_mut(&attempt) {
             vms.push(vm.to_owned());
         }
@@ -155,7 +155,7 @@
     /// Settings.
     pub settings: Settings,
     /// Incarnation of this process.
-    pub me: Incarnation,
+    pub incarnation: Incarnation,
     /// This node's entry in the membership.
     pub member: Member,
     /// Clock.
@@ -173,8 +173,8 @@
     /// Writer of claims.
     pub claims: Writer,
     /// Attempts in progress.
-    pub flights: InFlight,
-    tapes: Mutex<HashMap<Key, Arc<Tape>>>,
+    pub in_flight: InFlight,
+    buffers: Mutex<HashMap<Key, Arc<Buffer>>>,
     /// Lifecycle phase.
     pub phase: watch::Sender<Phase>,
     policy: RwLock<Arc<Policy>>,
@@ -211,8 +211,8 @@
     }
 
     /// Outputs of the keyed requests in progress.
-    pub fn tapes(&self) -> MutexGuard<'_, HashMap<Key, Arc<Tape>>> {
-        self.tapes.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn buffers(&self) -> MutexGuard<'_, HashMap<Key, Arc<Buffer>>> {
+        self.buffers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sequence number for a new request.
@@ -279,7 +279,7 @@
     }
 
     /// Waits until a paused process has caught up; false if it must not dispatch.
-    pub async fn fresh(&self) -> bool {
+    pub async fn wait_until_caught_up(&self) -> bool {
         let started = self.clock.now();
         while self.paused() {
             if self.clock.now().since(started) > CATCH_UP_TIMEOUT.as_millis() as u64 {
@@ -302,7 +302,7 @@
 
     /// Member, logged or provisional, with an incarnation.
     pub async fn member(&self, incarnation: Incarnation) -> Option<Member> {
-        self.keeper.visit(move |node, _| node.member(incarnation).cloned()).await
+        self.keeper.with_node(move |node, _| node.member(incarnation).cloned()).await
     }
 }
 
@@ -358,8 +358,8 @@
     tokio::spawn(serve::serve(operators, serve::Limits::default(), stopped, operator_handler));
     tokio::spawn(rpc::serve(control, shared.clone()));
     tokio::spawn(join(shared.clone()));
-    tokio::spawn(pulse::run(shared.clone()));
-    tokio::spawn(sweep::run(shared.clone()));
+    tokio::spawn(heartbeat::run(shared.clone()));
+    tokio::spawn(cleanup::run(shared.clone()));
     tokio::spawn(drain::watch(shared.clone()));
     Ok(Handle { shared, addresses, stop, servers: vec![callers, forward] })
 }
@@ -397,7 +397,7 @@
     let limit = Duration::from_millis(settings.timing.platform_millis);
     let default = Program::compile(program::DEFAULT).expect("the default policy compiles");
     Ok(Arc::new(Shared {
-        me: incarnation,
+        incarnation,
         member: Member {
             incarnation,
             vm: settings.vm.clone(),
@@ -412,8 +412,8 @@
         peers: Peers::default(),
         metrics,
         claims: Writer::default(),
-        flights: InFlight::default(),
-        tapes: Mutex::default(),
+        in_flight: InFlight::default(),
+        buffers: Mutex::default(),
         phase: watch::Sender::new(Phase::Starting),
         policy: RwLock::new(Arc::new(Policy { version: Version(0), program: default })),
         in_progress: AtomicUsize::new(0),
@@ -449,7 +449,7 @@
 /// follows the log.
 async fn join(shared: Arc<Shared>) {
     while !follower::catch_up(&shared).await {
-        if pulse::fetch_snapshot(&shared).await {
+        if heartbeat::fetch_snapshot(&shared).await {
             break;
         }
         tokio::time::sleep(START_RETRY_DELAY).await;
@@ -459,7 +459,7 @@
         shared.set_log_answers(true);
         while !shared.is_member() && follower::catch_up(&shared).await {}
     }
-    pulse::announce(&shared).await;
+    heartbeat::announce(&shared).await;
     let start = |phase: &mut Phase| {
         let starting = *phase == Phase::Starting;
         if starting {
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -82,18 +82,18 @@
             "answer_bytes": node.ledger.bytes(),
         })
     };
-    let mut status = shared.keeper.visit(read_state).await;
+    let mut status = shared.keeper.with_node(read_state).await;
     let phase = *shared.phase.borrow();
     let meter = shared.peers.meter();
     status["vm"] = json!(shared.settings.vm);
-    status["incarnation"] = json!(shared.me.to_string());
+    status["incarnation"] = json!(shared.incarnation.to_string());
     status["phase"] = json!(format!("{phase:?}"));
     status["safe_to_stop"] = json!(phase == Phase::Stopped);
     status["member"] = json!(shared.is_member());
     status["log_answers"] = json!(shared.log_answers());
     status["policy_version"] = json!(shared.policy().version);
     status["in_progress"] = json!(shared.in_progress());
-    status["attempts"] = json!(shared.flights.len());
+    status["attempts"] = json!(shared.in_flight.len());
     status["control_read_bytes"] = json!(meter.read.load(Ordering::Relaxed));
     status["control_written_bytes"] = json!(meter.written.load(Ordering::Relaxed));
     status["counters"] = json!(shared.metrics.snapshot());
@@ -109,7 +109,7 @@
         members.extend(node.provisional_members());
         (node.is_leaving(&vm_name), node.has_vm(&vm_name), members)
     };
-    let (leaving, known, members) = shared.keeper.visit(read_members).await;
+    let (leaving, known, members) = shared.keeper.with_node(read_members).await;
     let mut in_progress = 0;
     let mut unreachable = Vec::new();
     for member in members {
@@ -134,14 +134,14 @@
 
 /// Announces that a VM leaves: at this node, which gossips the announcement, and in the log if it is available.
 async fn announce_leave(shared: &Arc<Shared>, vm: &str) -> serde_json::Value {
-    let id = format!("operator/{}/{vm}/{}", shared.me, shared.sequence());
+    let id = format!("operator/{}/{vm}/{}", shared.incarnation, shared.sequence());
     let leave = Leave { id, vm: vm.to_owned(), node: None };
     let local_leave = leave.clone();
     let add_leave = move |node: &mut Node, _| {
         node.add_leave(local_leave.clone());
         (node.has_vm(&local_leave.vm), node.state.with_node(local_leave))
     };
-    let (known, leave) = shared.keeper.visit(add_leave).await;
+    let (known, leave) = shared.keeper.with_node(add_leave).await;
     let logged = follower::append(shared, &Record::Leave { leave }).await;
     json!({ "vm": vm, "known": known, "leaving": true, "logged": logged })
 }
--- a/crates/transport/src/render.rs
+++ b/crates/transport/src/render.rs
@@ -1,12 +1,12 @@
-//! Builds HTTP responses from tapes, either buffered or streamed as server-sent events.
+//! Builds HTTP responses from buffers, either buffered or streamed as server-sent events.
 
+use crate::buffer::{End, Reader, Step};
 use crate::entry::{ParsedRequest, Target};
 use crate::headers::REQUEST;
 use crate::http::{self, BodyError, ResponseBody};
 use crate::metrics::Counter;
 use crate::node::{Progress, Shared};
 use crate::run::NOT_READY_MILLIS;
-use crate::tape::{End, Reader, Step};
 use bytes::Bytes;
 use crosslane_protocol::completion::Completion;
 use crosslane_protocol::refusal::{self, Code, Refusal};
@@ -18,7 +18,7 @@
 use hyper::{Response, StatusCode};
 use std::sync::Arc;
 
-/// Builds the response to a request from the tape of its run.
+/// Builds the response to a request from the buffer of its run.
 pub async fn render(
     shared: &Arc<Shared>,
     request: &ParsedRequest,
@@ -32,13 +32,13 @@
             stream_response(shared, completion, key, reader, progress).await?
         }
         Target::Model(completion) => {
-            let chunks = chunks_or_refusal(shared, reader.whole().await)?;
+            let chunks = chunks_or_refusal(shared, reader.read_to_end().await)?;
             let text: Vec<u8> = chunks.concat();
             let text = String::from_utf8_lossy(&text);
             http::json(200, &completion.full(key.as_str(), &text, chunks.len() as u64))
         }
         Target::Service(_) => {
-            let chunks = chunks_or_refusal(shared, reader.whole().await)?;
+            let chunks = chunks_or_refusal(shared, reader.read_to_end().await)?;
             service_response(&reader, chunks)
         }
     };
--- a/crates/transport/src/reserve.rs
+++ b/crates/transport/src/reserve.rs
@@ -59,7 +59,7 @@
                     min_retry_ms.map_or(retry_after_ms, |shortest| shortest.min(retry_after_ms)),
                 );
                 let id = runner.id;
-                shared.keeper.visit(move |node, _| node.loads.undo_sent(id)).await;
+                shared.keeper.with_node(move |node, _| node.loads.undo_sent(id)).await;
                 exclude.push(id);
             }
         }
@@ -77,7 +77,7 @@
         let id = node.place(Requirements { role, serves, domains, exclude, hold_ms }, now)?;
         node.options().table.find(id).cloned()
     };
-    shared.keeper.visit(choose).await
+    shared.keeper.with_node(choose).await
 }
 
 /// Requests a slot from the runner's owner; without an owner, takes one by estimate.
@@ -89,15 +89,17 @@
     if !shared.settings.placement.reserve {
         return Ok((None, 0));
     }
-    let owner = shared.keeper.visit(move |node, _| node.owner(runner)).await;
+    let owner = shared.keeper.with_node(move |node, _| node.owner(runner)).await;
     let decision = match owner {
-        Some(owner) if owner == shared.me => shared.keeper.request_slot(runner, request).await,
+        Some(owner) if owner == shared.incarnation => {
+            shared.keeper.request_slot(runner, request).await
+        }
         Some(owner) => request_from_owner(shared, owner, runner, request).await,
         None => Decision::NotOwner,
     };
     match decision {
         Decision::Granted { start_in_ms, wait_ms } => {
-            shared.keeper.visit(move |node, _| node.loads.record_wait(runner, wait_ms)).await;
+            shared.keeper.with_node(move |node, _| node.loads.record_wait(runner, wait_ms)).await;
             Ok((owner, start_in_ms))
         }
         Decision::Refused { retry_after } => Err(retry_after),
@@ -132,7 +134,7 @@
 /// Resolves once the failure detector no longer considers a node alive.
 async fn until_not_alive(shared: &Shared, incarnation: Incarnation) {
     let alive = move |node: &mut Node, now| node.liveness(incarnation, now) == Liveness::Alive;
-    while shared.keeper.visit(alive).await {
+    while shared.keeper.with_node(alive).await {
         tokio::time::sleep(OWNER_CHECK_INTERVAL).await;
     }
 }
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -47,8 +47,8 @@
 
 impl Peer for Server {
     async fn heartbeat(self, _: Context, heartbeat: Heartbeat) -> Heartbeat {
-        crate::pulse::apply_heartbeat(&self.shared, heartbeat).await;
-        crate::pulse::build_heartbeat(&self.shared).await
+        crate::heartbeat::apply_heartbeat(&self.shared, heartbeat).await;
+        crate::heartbeat::build_heartbeat(&self.shared).await
     }
 
     async fn reserve_slot(self, _: Context, runner: runner::Id, request: Request) -> Decision {
@@ -60,15 +60,15 @@
     }
 
     async fn still_in_use(self, _: Context, attempts: Vec<attempt::Id>) -> Vec<bool> {
-        self.shared.flights.still_in_use(&attempts)
+        self.shared.in_flight.still_in_use(&attempts)
     }
 
     async fn release_key(self, _: Context, key: Key, by: Incarnation) -> bool {
-        self.shared.keeper.visit(move |node, now| node.ledger.release(&key, by, now)).await
+        self.shared.keeper.with_node(move |node, now| node.ledger.release(&key, by, now)).await
     }
 
     async fn probe(self, _: Context, node: Incarnation) -> bool {
-        crate::pulse::probe(&self.shared, node).await
+        crate::heartbeat::probe(&self.shared, node).await
     }
 
     async fn replicate_claims(self, _: Context, by: Incarnation, keys: Vec<u64>) -> bool {
@@ -86,7 +86,7 @@
                 node.ledger.adopt(&record.key, record.fingerprint, answer, now);
             }
         };
-        self.shared.keeper.visit(adopt).await;
+        self.shared.keeper.with_node(adopt).await;
     }
 
     async fn snapshot(self, _: Context) -> Snapshot {
@@ -94,13 +94,13 @@
             state: node.state.clone(),
             provisional_members: node.provisional_members(),
         };
-        self.shared.keeper.visit(build).await
+        self.shared.keeper.with_node(build).await
     }
 
     async fn in_progress(self, _: Context, vm: String) -> u32 {
         let own_vm = vm == self.shared.settings.vm;
         let stopped = *self.shared.phase.borrow() == Phase::Stopped;
         let requests = if own_vm && !stopped { 1 + self.shared.in_progress() as u32 } else { 0 };
-        requests + self.shared.flights.count_on(&vm)
+        requests + self.shared.in_flight.count_on(&vm)
     }
 }
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -4,13 +4,13 @@
 //! so that a decode engine is ready for the finished prefill. All resources that an attempt may
 //! hold are freed when it ends, whatever the result.
 
+use crate::buffer::{Buffer, Head};
 use crate::claims::Claimed;
+use crate::cleanup::{self, Hold};
 use crate::engine::{self, Engine, Stream};
 use crate::metrics::Counter;
 use crate::node::Shared;
 use crate::reserve::{self, Slot};
-use crate::sweep::{self, Hold};
-use crate::tape::{Head, Tape};
 use bytes::Bytes;
 use crosslane_coordination::node::{Node, Requirements};
 use crosslane_coordination::retry::{self, Denial};
@@ -80,7 +80,7 @@
 struct Run {
     shared: Arc<Shared>,
     job: Job,
-    tape: Arc<Tape>,
+    buffer: Arc<Buffer>,
     splice: Splice,
     claimed: bool,
     ran: bool,
@@ -95,12 +95,12 @@
     unused_tokens: u64,
 }
 
-/// Runs a request; its output goes to the tape.
-pub async fn run(shared: Arc<Shared>, job: Job, tape: Arc<Tape>) -> Result<(), Refusal> {
-    let first = attempt::Id { origin: shared.me, sequence: job.sequence, retry_number: 0 };
-    tape.head(Head { status: 200, content_type: crate::http::JSON.to_owned() });
+/// Runs a request; its output goes to the buffer.
+pub async fn run(shared: Arc<Shared>, job: Job, buffer: Arc<Buffer>) -> Result<(), Refusal> {
+    let first = attempt::Id { origin: shared.incarnation, sequence: job.sequence, retry_number: 0 };
+    buffer.head(Head { status: 200, content_type: crate::http::JSON.to_owned() });
     let splice = Splice::new(first);
-    let run = Run { shared, job, tape, splice, claimed: false, ran: false };
+    let run = Run { shared, job, buffer, splice, claimed: false, ran: false };
     run.attempts(first).await
 }
 
@@ -110,16 +110,16 @@
         let mut attempt = first;
         loop {
             let mut holds = Holds::default();
-            self.shared.flights.begin(attempt);
-            let tape = self.tape.clone();
+            self.shared.in_flight.begin(attempt);
+            let buffer = self.buffer.clone();
             let result = tokio::select! {
                 biased;
-                () = tape.deserted() => Err(Failure::CallersLeft),
+                () = buffer.is_abandoned() => Err(Failure::CallersLeft),
                 result = self.attempt(attempt, &mut holds) => result,
             };
             self.ran |= holds.ran;
             holds.free(&self.shared, attempt);
-            self.shared.flights.end(attempt);
+            self.shared.in_flight.end(attempt);
             let Err(failure) = result else {
                 return Ok(());
             };
@@ -150,7 +150,7 @@
             mark_dispatched(&mut holds.decode);
             self.import(attempt, &decode, &prefill).await?;
             if let Some(hold) = holds.prefill.take() {
-                tokio::spawn(sweep::free(self.shared.clone(), attempt, hold));
+                tokio::spawn(cleanup::free(self.shared.clone(), attempt, hold));
             }
         }
         self.decode(attempt, &decode, holds).await
@@ -175,7 +175,7 @@
         let Slot { runner, owner, start_in_ms } = self.reserve(Role::Decode, request).await?;
         holds.decode = Some(Hold { runner: runner.clone(), owner, dispatched: false });
         tokio::time::sleep(Duration::from_millis(start_in_ms)).await;
-        self.shared.flights.touch(attempt, &runner.vm);
+        self.shared.in_flight.add_vm(attempt, &runner.vm);
         Ok(runner)
     }
 
@@ -189,7 +189,7 @@
         let request = self.slot_request(attempt, tokens, tokens, self.prefill_ms(tokens));
         let Slot { runner, owner, .. } = self.reserve(Role::Prefill, request).await?;
         holds.prefill = Some(Hold { runner: runner.clone(), owner, dispatched: false });
-        self.shared.flights.touch(attempt, &runner.vm);
+        self.shared.in_flight.add_vm(attempt, &runner.vm);
         Ok(runner)
     }
 
@@ -237,7 +237,7 @@
                 claimed => return Err(Failure::Claim(claimed)),
             }
         }
-        if self.shared.fresh().await { Ok(()) } else { Err(Failure::NoRunner) }
+        if self.shared.wait_until_caught_up().await { Ok(()) } else { Err(Failure::NoRunner) }
     }
 
     /// Prefills the prompt and the output so far.
@@ -278,7 +278,7 @@
     fn release_prefill_slot(&self, attempt: attempt::Id, hold: &Hold) {
         if let Some(owner) = hold.owner {
             let (shared, runner) = (self.shared.clone(), hold.runner.id);
-            tokio::spawn(async move { sweep::release(&shared, owner, runner, attempt).await });
+            tokio::spawn(async move { cleanup::release(&shared, owner, runner, attempt).await });
         }
     }
 
@@ -347,7 +347,7 @@
         }
     }
 
-    /// Forwards a stream to the tape until its end mark.
+    /// Forwards a stream to the buffer until its end mark.
     async fn read(
         &mut self,
         attempt: attempt::Id,
@@ -359,7 +359,7 @@
                 Line::Token { offset, text } => match self.splice.accept(attempt, offset) {
                     Action::Forward => {
                         holds.unused_tokens = 0;
-                        self.tape.push(Bytes::from(text));
+                        self.buffer.push(Bytes::from(text));
                     }
                     Action::Drop => {}
                     Action::Gap => return Err(broken("pieces are missing")),
@@ -399,13 +399,13 @@
             node.mark_failed(runner, now);
             node.budget.retry(failed_attempt)
         };
-        match self.shared.keeper.visit(decide).await {
+        match self.shared.keeper.with_node(decide).await {
             Ok(delay_ms) => {
                 self.shared.metrics.count(retry_counter(&error));
                 Ok(delay_ms)
             }
             Err(denial) => {
-                self.shared.metrics.count(denied(denial));
+                self.shared.metrics.count(denial_counter(denial));
                 Err(self.refuse(Code::RunnerFailed, error.to_string()))
             }
         }
@@ -469,7 +469,7 @@
     fn free(self, shared: &Arc<Shared>, attempt: attempt::Id) {
         shared.metrics.add(Counter::PrefillWasted, self.unused_tokens);
         for hold in [self.decode, self.prefill].into_iter().flatten() {
-            tokio::spawn(sweep::free(shared.clone(), attempt, hold));
+            tokio::spawn(cleanup::free(shared.clone(), attempt, hold));
         }
     }
 }
@@ -498,7 +498,7 @@
 }
 
 /// Counter of a denied retry.
-pub fn denied(denial: Denial) -> Counter {
+pub fn denial_counter(denial: Denial) -> Counter {
     match denial {
         Denial::Budget => Counter::DeniedBudget,
         Denial::Deadline => Counter::DeniedDeadline,
