--- a/crates/transport/src/heartbeat.rs
+++ b/crates/transport/src/heartbeat.rs
@@ -75,14 +75,14 @@
             continue;
         }
         let call = |client: PeerClient, context| async move { client.snapshot(context).await };
-        let Ok(Snapshot { state, provisional_members: unlogged_members }) =
+        let Ok(Snapshot { state, provisional_members }) =
             shared.peers.call(address, limit, call).await
         else {
             continue;
         };
         found = true;
         let adopt = move |node: &mut Node, now| {
-            unlogged_members.into_iter().for_each(|member| node.add_provisional(member, now));
+            provisional_members.into_iter().for_each(|member| node.add_provisional(member, now));
             if state.next_offset > node.state.next_offset {
                 node.state = state;
                 node.refresh(now);
--- a/crates/transport/src/job.rs
+++ b/crates/transport/src/job.rs
@@ -51,7 +51,7 @@
             let organisation = request.organisation;
             let job = run::Job {
                 completion,
-                verdict: decision,
+                decision,
                 organisation,
                 deadline,
                 claim: claim_key_hash,
--- a/crates/transport/src/run.rs
+++ b/crates/transport/src/run.rs
@@ -50,7 +50,7 @@
     /// Request.
     pub completion: Completion,
     /// Decision of the policy on the request.
-    pub verdict: Decision,
+    pub decision: Decision,
     /// Organisation that sent the request.
     pub organisation: Organisation,
     /// Deadline of the first output.
@@ -205,7 +205,7 @@
         let first_token_ms = self.shared.settings.placement.token_millis;
         Request {
             attempt,
-            class: self.job.verdict.class,
+            class: self.job.decision.class,
             organisation: self.job.organisation,
             kv_tokens,
             max_wait_ms: self.remaining_ms().saturating_sub(work_ms + first_token_ms),
@@ -219,7 +219,7 @@
         let requirements = Requirements {
             role,
             serves: &self.job.completion.model,
-            domains: &self.job.verdict.domains,
+            domains: &self.job.decision.domains,
             exclude: &[],
             hold_ms: request.hold_ms,
         };
@@ -253,7 +253,7 @@
             model: completion.model.clone(),
             prompt: completion.prompt.clone(),
             done: self.splice.next_offset(),
-            quick: self.job.verdict.class == Class::Quick,
+            quick: self.job.decision.class == Class::Quick,
         };
         let expected_ms = self.prefill_ms(completion.estimated_prompt_tokens());
         let timeout = Duration::from_millis(self.remaining_ms().max(expected_ms)) + PREFILL_GRACE;
@@ -390,7 +390,7 @@
         let tokens = self.job.completion.estimated_prompt_tokens() + self.splice.next_offset();
         let failed_attempt = retry::Failure {
             may_have_run: self.ran,
-            repeatable: self.job.verdict.repeatable,
+            repeatable: self.job.decision.repeatable,
             retry_number,
             left_ms: self.remaining_ms(),
             needed_ms: self.prefill_ms(tokens),
