--- a/crates/crosslane/tests/crashing.rs
+++ b/crates/crosslane/tests/crashing.rs
@@ -12,8 +12,8 @@
 
 mod fixture;
 
-use crosslane_platform_standins::caller::{CULPRIT, Ending};
-use crosslane_platform_standins::ledger::{Crashing, Kind};
+use crosslane_platform_standins::caller::{Ending, POISON_ID_PREFIX};
+use crosslane_platform_standins::ledger::{Kind, PoisonRequest};
 use fixture::Fixture;
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -47,7 +47,7 @@
     async fn asked_everywhere(&self, round: &str, kind: Kind, path: &str) -> Vec<Ending> {
         let mut endings = Vec::new();
         for node in 0..self.site.nodes.len() {
-            let id = format!("{CULPRIT}{round}-{node}");
+            let id = format!("{POISON_ID_PREFIX}{round}-{node}");
             endings.push(self.ask(node, &id, kind, path).await);
         }
         endings
@@ -89,13 +89,13 @@
         for copy in 0..COPIES {
             fixture.until_served(kind).await;
             let node = copy % fixture.site.nodes.len();
-            fixture.ask(node, &format!("{CULPRIT}{copy}"), kind, &path).await;
+            fixture.ask(node, &format!("{POISON_ID_PREFIX}{copy}"), kind, &path).await;
         }
-        let Crashing { ended, reached, .. } = fixture.site.ledger.crashing(&path);
+        let PoisonRequest { ended, reached, .. } = fixture.site.ledger.poison_request(&path);
         assert!(ended <= MOST_ENDED, "{name}: {ended} endpoints ended, {reached} times sent");
         let refused = vec![Ending::Status(503); fixture.site.nodes.len()];
         assert_eq!(fixture.asked_everywhere("calm", kind, &path).await, refused, "{name}");
-        assert_eq!(fixture.site.ledger.crashing(&path).reached, reached, "{name}");
+        assert_eq!(fixture.site.ledger.poison_request(&path).reached, reached, "{name}");
         fixture.until_served(kind).await;
         let other = format!("{}other", kind.prefix());
         for node in 0..fixture.site.nodes.len() {
@@ -107,11 +107,11 @@
         fixture.kill_all().await;
         fixture.until_served(kind).await;
         assert_eq!(fixture.asked_everywhere("killed", kind, &path).await, refused, "{name}");
-        assert_eq!(fixture.site.ledger.crashing(&path).ended, ended, "{name}");
+        assert_eq!(fixture.site.ledger.poison_request(&path).ended, ended, "{name}");
         fixture.lift().await;
         let tried = || async {
-            fixture.ask(0, &format!("{CULPRIT}lifted"), kind, &path).await;
-            fixture.site.ledger.crashing(&path).ended > ended
+            fixture.ask(0, &format!("{POISON_ID_PREFIX}lifted"), kind, &path).await;
+            fixture.site.ledger.poison_request(&path).ended > ended
         };
         fixture.until(tried).await;
     }
--- a/crates/crosslane/tests/limit.rs
+++ b/crates/crosslane/tests/limit.rs
@@ -29,13 +29,13 @@
     /// Has one endpoint of a stage name a limit, or none any more.
     fn need(&self, stage: Stage, rate: Option<f64>) {
         let one = &self.of_stage(stage)[0];
-        self.site.with(one, |it| it.endpoint.need(rate));
+        self.site.with(one, |it| it.endpoint.set_limit(rate));
     }
 
     /// Has all endpoints of a stage name a limit, or none any more.
     fn need_all(&self, stage: Stage, rate: Option<f64>) {
         for id in self.of_stage(stage) {
-            self.site.with(&id, |it| it.endpoint.need(rate));
+            self.site.with(&id, |it| it.endpoint.set_limit(rate));
         }
     }
 
--- a/crates/crosslane/tests/logs_unread.rs
+++ b/crates/crosslane/tests/logs_unread.rs
@@ -89,7 +89,7 @@
         tokio::spawn(async move {
             for number in 0..REQUESTS {
                 let id = format!("c{name}-{number}");
-                assert_eq!(caller.ask(&id, Kind::Confirm, None).await, Ending::Answered, "{id}");
+                assert_eq!(caller.send(&id, Kind::Confirm, None).await, Ending::Answered, "{id}");
             }
         })
     });
@@ -106,7 +106,7 @@
     let wait = async {
         let mut chunk = vec![0; 65_536];
         while !String::from_utf8_lossy(&text).contains(r#""event":"dropped""#) {
-            caller.ask("again", Kind::Page, None).await;
+            caller.send("again", Kind::Page, None).await;
             let length = output.read(&mut chunk).await.unwrap();
             text.extend(&chunk[..length]);
         }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -171,7 +171,7 @@
         Fault::Lapse => lapse(&site, lasts).await,
         Fault::Compact => {
             site.disturb();
-            site.store.forget();
+            site.store.compact();
         }
     }
     Ok(())
@@ -270,18 +270,18 @@
     let Some(id) = endpoint(site, random) else {
         return;
     };
-    site.with(&id, |it| it.endpoint.fault(Some((fault, one_in))));
+    site.with(&id, |it| it.endpoint.inject_fault(Some((fault, one_in))));
     sleep(lasts).await;
-    site.with(&id, |it| it.endpoint.fault(None));
+    site.with(&id, |it| it.endpoint.inject_fault(None));
 }
 
 async fn silence(site: &Site, lasts: Duration, random: &mut SmallRng) {
     let Some(id) = endpoint(site, random) else {
         return;
     };
-    site.with(&id, |it| it.endpoint.silence(true));
+    site.with(&id, |it| it.endpoint.stall(true));
     sleep(lasts).await;
-    site.with(&id, |it| it.endpoint.silence(false));
+    site.with(&id, |it| it.endpoint.stall(false));
 }
 
 async fn need(site: &Site, lasts: Duration, random: &mut SmallRng) {
@@ -290,10 +290,10 @@
     };
     for _ in 0..NAMED {
         let rate = choose(&RATES, random);
-        site.with(&id, |it| it.endpoint.need(Some(rate)));
+        site.with(&id, |it| it.endpoint.set_limit(Some(rate)));
         sleep(lasts).await;
     }
-    site.with(&id, |it| it.endpoint.need(None));
+    site.with(&id, |it| it.endpoint.set_limit(None));
 }
 
 async fn endpoint_way(site: &Site, lasts: Duration, random: &mut SmallRng) {
@@ -302,14 +302,14 @@
         return;
     };
     site.with(&id, |it| {
-        it.endpoint.disturb(true);
+        it.endpoint.set_disturbed(true);
         it.proxy.set(mode);
     });
     sleep(lasts).await;
     site.with(&id, |it| {
         it.proxy.set(Mode::Pass);
         // What was held back may still break off what began meanwhile.
-        it.endpoint.disturb(false);
+        it.endpoint.set_disturbed(false);
     });
 }
 
--- a/crates/soak/src/innocence.rs
+++ b/crates/soak/src/innocence.rs
@@ -1,7 +1,7 @@
 //! Requests that were shut out, and whether these are the ones that make endpoints crash.
 
 use crate::site::Site;
-use crosslane_platform_standins::caller::CULPRIT;
+use crosslane_platform_standins::caller::POISON_ID_PREFIX;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,9 +33,9 @@
     }
     for fingerprint in shut {
         let request = requests.get(&fingerprint).map_or("", String::as_str);
-        if !request.starts_with(CULPRIT) {
+        if !request.starts_with(POISON_ID_PREFIX) {
             let seen = format!("{fingerprint} was shut out");
-            site.ledger.broken("no innocent request is shut out", request, seen);
+            site.ledger.record_violation("no innocent request is shut out", request, seen);
         }
     }
 }
--- a/crates/soak/src/keys.rs
+++ b/crates/soak/src/keys.rs
@@ -4,7 +4,8 @@
 use crosslane_platform_standins::caller::{Caller, Ending};
 use crosslane_platform_standins::ledger::Kind;
 use crosslane_platform_standins::texts::{
-    self, DESK_KEY, MOVING_KEY, NARROW, NARROW_KEY, QUOTA_OVERAGE, QUOTA_SLACK, QUOTA_WINDOW_S,
+    self, DESK_KEY, LIMITED_KEY, LIMITED_RATE_AND_BURST, MOVING_KEY, QUOTA_OVERAGE, QUOTA_SLACK,
+    QUOTA_WINDOW_S,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -39,7 +40,7 @@
             0 => pass(&site, node, version, &format!("s{seed}-k{number}")).await,
             1 => moving(&site, node, &format!("s{seed}-m{number}")).await,
             _ => {
-                ask(&site, node, NARROW_KEY, &format!("s{seed}-n{number}")).await;
+                ask(&site, node, LIMITED_KEY, &format!("s{seed}-n{number}")).await;
             }
         }
         sleep(Duration::from_millis(random.random_range(PAUSE))).await;
@@ -48,7 +49,7 @@
 
 async fn ask(site: &Site, node: usize, key: &str, id: &str) -> Ending {
     let caller = Caller::new(site.nodes[node].callers(), site.ledger.clone());
-    caller.with_key(key).ask(id, Kind::Page, None).await
+    caller.with_key(key).send(id, Kind::Page, None).await
 }
 
 /// A key that was gone in a version that a node showed is not let in there again.
@@ -57,15 +58,21 @@
     let ending = ask(site, node, &texts::passing_key(version), id).await;
     if ending == Ending::Answered && shown >= version + STAYS {
         let seen = format!("the key of {version} is let in after {shown} was in force");
-        site.ledger.broken("a key that was taken away runs nothing", id, seen);
+        site.ledger.record_violation("a key that was taken away runs nothing", id, seen);
     }
 }
 
 async fn moving(site: &Site, node: usize, id: &str) {
     ask(site, node, MOVING_KEY, id).await;
     let organisation = site.ledger.organisation(id);
-    if organisation.is_some_and(|it| it != texts::moved_to(1) && it != texts::moved_to(2)) {
-        site.ledger.broken("a request runs for its key's organisation", id, String::new());
+    if organisation.is_some_and(|it| {
+        it != texts::moving_organisation(1) && it != texts::moving_organisation(2)
+    }) {
+        site.ledger.record_violation(
+            "a request runs for its key's organisation",
+            id,
+            String::new(),
+        );
     }
 }
 
@@ -78,11 +85,12 @@
         check_node(site, node, newest).await;
     }
     let window = Duration::from_secs(QUOTA_WINDOW_S);
-    let most = site.ledger.most_within("narrow", window);
-    let allowed = (NARROW.0 * QUOTA_WINDOW_S + NARROW.1) as f64 * (1.0 + QUOTA_OVERAGE);
+    let most = site.ledger.max_arrivals_within("narrow", window);
+    let allowed = (LIMITED_RATE_AND_BURST.0 * QUOTA_WINDOW_S + LIMITED_RATE_AND_BURST.1) as f64
+        * (1.0 + QUOTA_OVERAGE);
     if most as f64 > allowed + QUOTA_SLACK as f64 {
         let seen = format!("{most} requests within {window:?}, {allowed} allowed");
-        site.ledger.broken("an organisation stays within its limit", "", seen);
+        site.ledger.record_violation("an organisation stays within its limit", "", seen);
     }
 }
 
@@ -97,7 +105,7 @@
                 break;
             }
             if Instant::now() > end {
-                site.ledger.broken("a limit that ended is forgotten", &id, String::new());
+                site.ledger.record_violation("a limit that ended is forgotten", &id, String::new());
                 return;
             }
             sleep(LOOK).await;
@@ -109,18 +117,26 @@
     let id = |what: &str| format!("end-{what}-{node}");
     let ending = ask(site, node, &texts::passing_key(newest), &id("new")).await;
     if ending == Ending::Status(401) {
-        site.ledger.broken("a key is in force in seconds", &id("new"), format!("{newest}"));
+        site.ledger.record_violation(
+            "a key is in force in seconds",
+            &id("new"),
+            format!("{newest}"),
+        );
     }
     let gone = newest.saturating_sub(STAYS);
     let ending = ask(site, node, &texts::passing_key(gone), &id("gone")).await;
     if ending != Ending::Status(401) {
         let seen = format!("{ending:?} for the key of {gone} under {newest}");
-        site.ledger.broken("a key that was taken away runs nothing", &id("gone"), seen);
+        site.ledger.record_violation("a key that was taken away runs nothing", &id("gone"), seen);
     }
     ask(site, node, MOVING_KEY, &id("moved")).await;
     let organisation = site.ledger.organisation(&id("moved"));
-    if organisation.as_deref() != Some(texts::moved_to(newest)) {
+    if organisation.as_deref() != Some(texts::moving_organisation(newest)) {
         let seen = format!("{organisation:?} under {newest}");
-        site.ledger.broken("a request runs for its key's organisation", &id("moved"), seen);
+        site.ledger.record_violation(
+            "a request runs for its key's organisation",
+            &id("moved"),
+            seen,
+        );
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -6,7 +6,7 @@
 use crate::site::{Plan, Site};
 use crate::traffic::{self, Endings};
 use crosslane_platform_standins::caller;
-use crosslane_platform_standins::ledger::{Crashing, Violation};
+use crosslane_platform_standins::ledger::{PoisonRequest, Violation};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
     /// Most memory of a node that ran at the end, in megabytes.
     pub megabytes: u64,
     /// Requests that make endpoints crash, and what they did.
-    pub crashing: Vec<(String, Crashing)>,
+    pub crashing: Vec<(String, PoisonRequest)>,
     /// Broken promises.
     pub violations: Vec<Violation>,
 }
@@ -76,10 +76,10 @@
         for (fault, count) in &self.faults {
             writeln!(formatter, "  {fault}: {count}")?;
         }
-        for (path, Crashing { ended, reached, late, .. }) in &self.crashing {
+        for (path, PoisonRequest { ended, reached, late, .. }) in &self.crashing {
             writeln!(formatter, "  {path}: {ended} ended, {reached} sends, {late} of them late")?;
         }
-        for Violation { promise, request, seen } in &self.violations {
+        for Violation { invariant: promise, request, observed: seen } in &self.violations {
             writeln!(formatter, "  BROKEN {promise}: {request} {seen}")?;
         }
         Ok(())
@@ -127,7 +127,7 @@
     for node in &site.nodes {
         megabytes = megabytes.max(node.peak_megabytes());
     }
-    let (crashing, violations) = (site.ledger.all_crashing(), site.ledger.violations());
+    let (crashing, violations) = (site.ledger.poison_requests(), site.ledger.violations());
     Ok(Report { seed: plan.seed, faults, endings, megabytes, crashing, violations })
 }
 
@@ -184,6 +184,6 @@
     }
     for (request, endpoint) in site.ledger.running() {
         let seen = format!("still runs at {endpoint}");
-        site.ledger.broken("no memory held for callers who left", &request, seen);
+        site.ledger.record_violation("no memory held for callers who left", &request, seen);
     }
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -239,7 +239,7 @@
         let mut served = lock(&self.served);
         if let Some(served) = served.iter_mut().find(|it| it.endpoint.id == id) {
             served.leaving = true;
-            served.endpoint.closed_from(Some(Instant::now() + SETTLED));
+            served.endpoint.forbid_work_from(Some(Instant::now() + SETTLED));
             self.announce(served);
         }
     }
@@ -264,7 +264,7 @@
         *lock(&self.disturbed) = now;
         let served = lock(&self.served);
         let leaving = served.iter().filter(|it| it.leaving);
-        leaving.for_each(|it| it.endpoint.closed_from(Some(now + SETTLED)));
+        leaving.for_each(|it| it.endpoint.forbid_work_from(Some(now + SETTLED)));
     }
 
     /// Whether nodes and the store have been left alone for so long that nothing is missed.
@@ -278,9 +278,9 @@
         self.ways.iter().for_each(|it| it.set(Mode::Pass));
         for served in lock(&self.served).iter() {
             served.proxy.set(Mode::Pass);
-            served.endpoint.fault(None);
-            served.endpoint.silence(false);
-            served.endpoint.need(None);
+            served.endpoint.inject_fault(None);
+            served.endpoint.stall(false);
+            served.endpoint.set_limit(None);
         }
         for node in &self.nodes {
             node.signal(nix::sys::signal::Signal::SIGCONT);
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -2,8 +2,8 @@
 
 use crate::node::{Life, Node};
 use crate::site::{SETTLED, Site};
-use crosslane_platform_standins::caller::{CULPRIT, Caller, Ending};
-use crosslane_platform_standins::endpoint::CRASHING;
+use crosslane_platform_standins::caller::{Caller, Ending, POISON_ID_PREFIX};
+use crosslane_platform_standins::endpoint::POISON_MARKER;
 use crosslane_platform_standins::ledger::{Ended, Kind, Run};
 use crosslane_platform_standins::texts::{self, DESK_KEY};
 use rand::rngs::SmallRng;
@@ -86,7 +86,7 @@
         let leave = leaves.then(|| Duration::from_millis(random.random_range(LEAVES)));
         let life = site.nodes[node].life();
         let began = Instant::now();
-        let ending = caller.ask(&id, kind, leave).await;
+        let ending = caller.send(&id, kind, leave).await;
         let took = began.elapsed();
         let asked = Asked { id: &id, kind, ending, node: &site.nodes[node], life: &life, took };
         asked.check(&site).await;
@@ -107,21 +107,21 @@
         }
         let node = &site.nodes[random.random_range(0..site.nodes.len())];
         let kind = CULPRITS[random.random_range(0..CULPRITS.len())];
-        let path = format!("{}{CRASHING}-s{seed}", kind.prefix());
-        let id = format!("{CULPRIT}s{seed}-{number}");
+        let path = format!("{}{POISON_MARKER}-s{seed}", kind.prefix());
+        let id = format!("{POISON_ID_PREFIX}s{seed}-{number}");
         let from = IpAddr::V4(Ipv4Addr::new(127, 0, 0, random.random_range(1..20)));
         let mut caller =
-            Caller::new(node.callers(), site.ledger.clone()).at(from).with_key(DESK_KEY);
-        caller.ask_at(&id, kind, &path).await;
+            Caller::new(node.callers(), site.ledger.clone()).from_ip(from).with_key(DESK_KEY);
+        caller.send_to_path(&id, kind, &path).await;
     }
 }
 
 /// Holds what such requests ended against the promise.
 pub fn check_crashes(site: &Site) {
-    for (path, crashing) in site.ledger.all_crashing() {
+    for (path, crashing) in site.ledger.poison_requests() {
         if crashing.late > LATE_SENDS {
             let seen = format!("{path}: {crashing:?}");
-            site.ledger.broken("few endpoints end under one request", &path, seen);
+            site.ledger.record_violation("few endpoints end under one request", &path, seen);
         }
     }
 }
@@ -151,10 +151,10 @@
         match self.ending {
             Ending::Cut | Ending::Closed if self.had_to_be_cut(&runs).await => {}
             Ending::Cut | Ending::Closed => {
-                site.ledger.broken("a sound node cuts nothing off", self.id, seen);
+                site.ledger.record_violation("a sound node cuts nothing off", self.id, seen);
             }
             Ending::Status(502 | 504) if run.ended.is_some_and(|it| it != Ended::Closed) => {
-                site.ledger.broken("ready answers are delivered", self.id, seen);
+                site.ledger.record_violation("ready answers are delivered", self.id, seen);
             }
             _ => {}
         }
@@ -202,17 +202,17 @@
         let path = format!("{}{id}", texts::added_path(version));
         let mut caller = Caller::new(node.callers(), site.ledger.clone()).with_key(DESK_KEY);
         let shown = life.version.load(Ordering::Relaxed);
-        match caller.ask_at(&id, Kind::Page, &path).await {
+        match caller.send_to_path(&id, Kind::Page, &path).await {
             Ending::Answered => {
                 life.version.fetch_max(version, Ordering::Relaxed);
             }
             Ending::Status(404) if version <= shown => {
                 let seen = format!("{version} not in force after {shown} was");
-                site.ledger.broken("a configuration never reverts", &id, seen);
+                site.ledger.record_violation("a configuration never reverts", &id, seen);
             }
             Ending::Status(404) if settled && site.calm() => {
                 let seen = format!("{version} not in force, accepted {:?} ago", accepted.elapsed());
-                site.ledger.broken("a configuration is in force in seconds", &id, seen);
+                site.ledger.record_violation("a configuration is in force in seconds", &id, seen);
             }
             _ => {}
         }
